--- a/crates/coltsfootroute/src/routing.rs
+++ b/crates/coltsfootroute/src/routing.rs
@@ -8,7 +8,7 @@
 mod pool_status;
 mod route_result;
 mod routing_settings;
-mod upstream_choice;
+mod upstream_candidate;
 mod upstream_health;
 mod upstream_info;
 mod upstream_phase;
--- a/crates/coltsfootroute/src/routing/latency_average.rs
+++ b/crates/coltsfootroute/src/routing/latency_average.rs
@@ -28,10 +28,10 @@
         if self.samples == 0 {
             self.micros = sample;
         } else {
-            let keep = kept_share(now.since(self.updated_at), window);
+            let retained = retained_weight(now.since(self.updated_at), window);
             // A call every few microseconds still has to count for something.
-            let keep = keep.min(MAX_KEPT_SHARE);
-            self.micros = self.micros * keep + sample * (1.0 - keep);
+            let retained = retained.min(MAX_RETAINED_WEIGHT);
+            self.micros = self.micros * retained + sample * (1.0 - retained);
         }
         self.samples += 1;
         self.updated_at = now;
@@ -68,8 +68,8 @@
         if self.micros <= baseline {
             return self.micros;
         }
-        let keep = kept_share(now.since(self.updated_at), window);
-        baseline + (self.micros - baseline) * keep
+        let retained = retained_weight(now.since(self.updated_at), window);
+        baseline + (self.micros - baseline) * retained
     }
 
     /// The average as it stands, without decay; `None` before the first sample.
@@ -79,8 +79,8 @@
 }
 
 /// Most of the old average that one sample leaves.
-const MAX_KEPT_SHARE: f64 = 0.95;
+const MAX_RETAINED_WEIGHT: f64 = 0.95;
 
-fn kept_share(elapsed: Duration, window: Duration) -> f64 {
+fn retained_weight(elapsed: Duration, window: Duration) -> f64 {
     (-elapsed.as_secs_f64() / window.as_secs_f64()).exp()
 }
--- a/crates/coltsfootroute/src/routing/routing_settings.rs
+++ b/crates/coltsfootroute/src/routing/routing_settings.rs
@@ -8,7 +8,7 @@
         /// Nodes that call the service, this one included; at least 1.
         pub callers: u32,
         /// Least share of an upstream's connections, however many callers there are.
-        pub least_share: u32,
+        pub min_share: u32,
         /// Window of the latency average and of the share of refusals.
         pub latency_window: Duration,
         /// How many times worse an upstream of the own failure domain may look than one outside it,
@@ -21,7 +21,7 @@
         /// The same for a call with much time to spare; at least as great.
         ///
         /// With five times for all calls 0.103 GB were left, but a quarter more orders ended at their deadline.
-        pub most_domain_preference_percent: u32,
+        pub max_domain_preference_percent: u32,
         /// The same for the own region against other regions; at least 100.
         pub region_preference_percent: u32,
         /// Time over which a new life's weight ramps up.
@@ -35,9 +35,9 @@
         /// Samples in one life before an upstream can count as slow.
         pub samples_to_eject: u64,
         /// First ejection; doubles with each ejection that follows a failed trial.
-        pub ejection: Duration,
+        pub initial_ejection: Duration,
         /// Longest ejection.
-        pub longest_ejection: Duration,
+        pub max_ejection: Duration,
         /// Most of the pool that may be ejected, in percent. One upstream of two or more may always
         /// be ejected, the last one never.
         pub ejected_percent: u32,
@@ -50,18 +50,18 @@
     fn default() -> Self {
         Self {
             callers: 1,
-            least_share: 8,
+            min_share: 8,
             latency_window: Duration::from_secs(2),
             domain_preference_percent: 300,
-            most_domain_preference_percent: 500,
+            max_domain_preference_percent: 500,
             region_preference_percent: 400,
             slow_start: Duration::from_secs(5),
             slow_start_percent: 20,
             failures_to_eject: 5,
             slow_factor: 10,
             samples_to_eject: 20,
-            ejection: Duration::from_secs(1),
-            longest_ejection: Duration::from_secs(2),
+            initial_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(2),
             ejected_percent: 34,
             trials_to_return: 3,
         }
@@ -78,7 +78,7 @@
     /// Sets the preference for the own failure domain, whatever time a call has.
     pub fn with_domain_preference(mut self, percent: u32) -> Self {
         self.domain_preference_percent = percent.max(100);
-        self.most_domain_preference_percent = self.domain_preference_percent;
+        self.max_domain_preference_percent = self.domain_preference_percent;
         self
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Most upstreams of `members` that may be ejected at a time.
-    pub fn most_ejected(&self, members: usize) -> usize {
+    pub fn max_ejected(&self, members: usize) -> usize {
         if members < 2 {
             return 0;
         }
--- a/crates/coltsfootroute/src/routing/upstream_choice.rs
+++ b/crates/coltsfootroute/src/routing/upstream_candidate.rs
@@ -2,7 +2,7 @@
 
 /// A candidate for a call.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct UpstreamChoice {
+pub(super) struct UpstreamCandidate {
     /// Position in the pool.
     pub position: usize,
     /// Share of the call's importance that the guard admits, 0 to 1.
@@ -14,9 +14,9 @@
 /// Shares closer than this count as equal: what a caller has heard is a little old.
 const SHARE_TOLERANCE: f64 = 0.05;
 
-impl UpstreamChoice {
+impl UpstreamCandidate {
     /// The same at so many times the cost.
-    pub fn with_reluctance(self, factor: f64) -> Self {
+    pub fn with_cost_factor(self, factor: f64) -> Self {
         Self { cost: self.cost * factor, ..self }
     }
 
--- a/crates/coltsfootroute/src/routing/upstream_health.rs
+++ b/crates/coltsfootroute/src/routing/upstream_health.rs
@@ -63,7 +63,7 @@
 
     fn next_ejection(&self, settings: &RoutingSettings) -> Duration {
         let doublings = self.ejections_in_row.min(MAX_DOUBLINGS);
-        settings.ejection.saturating_mul(1 << doublings).min(settings.longest_ejection)
+        settings.initial_ejection.saturating_mul(1 << doublings).min(settings.max_ejection)
     }
 }
 
--- a/crates/coltsfootroute/src/routing/upstream_pool.rs
+++ b/crates/coltsfootroute/src/routing/upstream_pool.rs
@@ -24,7 +24,7 @@
 ///
 /// Invariants: an upstream that is leaving is never chosen again in that life; no upstream has more
 /// calls in flight than its share, as long as each choice is followed by [`UpstreamPool::started`]
-/// and the share does not shrink; no ejection brings more than [`RoutingSettings::most_ejected`] of
+/// and the share does not shrink; no ejection brings more than [`RoutingSettings::max_ejected`] of
 /// the live upstreams out of use, and where all are ejected they are used all the same.
 #[derive(Clone, Debug)]
 pub struct UpstreamPool {
@@ -86,7 +86,7 @@
     pub fn set_callers(&mut self, callers: u32) {
         self.settings.callers = callers.max(1);
         for record in self.records.values_mut() {
-            record.divide_connections(&self.settings);
+            record.update_share(&self.settings);
         }
     }
 
@@ -119,7 +119,7 @@
         }
         match result {
             RouteResult::Succeeded => {
-                self.learn_baseline();
+                self.update_baseline();
                 self.eject_if_slow(now, node);
             }
             RouteResult::Failed | RouteResult::Unreachable => self.eject_if_failing(now, node),
--- a/crates/coltsfootroute/src/routing/upstream_pool/choosing.rs
+++ b/crates/coltsfootroute/src/routing/upstream_pool/choosing.rs
@@ -7,18 +7,20 @@
 use super::UpstreamPool;
 use crate::{
     id::NodeId,
-    routing::{UpstreamTier, upstream_choice::UpstreamChoice, upstream_record::UpstreamRecord},
+    routing::{
+        UpstreamTier, upstream_candidate::UpstreamCandidate, upstream_record::UpstreamRecord,
+    },
     time::MonotonicTime,
 };
 
 /// How many times its usual latency a call's time has to hold for one more of preference: latencies spread, and one in
 /// a hundred calls takes some four times the mean.
-const SPARE_TIMES: f64 = 4.0;
+const LATENCIES_PER_PREFERENCE: f64 = 4.0;
 /// How long an upstream that leaves is asked where no other takes a call. Longer than a node guards on while
 /// it stops, and so short that those that have gone are not asked for long.
-const DEPARTING_TIME: Duration = Duration::from_secs(4);
+const MAX_DEPARTING_TIME: Duration = Duration::from_secs(4);
 /// Draws at random before a scan: a scan favours the upstream after one that takes no calls.
-const RANDOM_DRAWS: usize = 4;
+const MAX_RANDOM_DRAWS: usize = 4;
 
 impl UpstreamPool {
     /// Chooses an upstream that is not in `exclude`; `None` where none takes a call now.
@@ -57,7 +59,7 @@
     /// guard its upstream for a moment longer, and says so itself if it does not.
     pub fn choose_departing(&self, now: MonotonicTime, exclude: &[NodeId]) -> Option<NodeId> {
         let departing = |record: &&UpstreamRecord| {
-            !exclude.contains(&record.info.node) && record.is_departing(now, DEPARTING_TIME)
+            !exclude.contains(&record.info.node) && record.is_departing(now, MAX_DEPARTING_TIME)
         };
         let fewest = self.records.values().filter(departing).min_by_key(|record| record.in_flight);
         fewest.map(|record| record.info.node)
@@ -68,7 +70,7 @@
         let takes = among
             .iter()
             .filter_map(|node| self.records.get(node))
-            .filter(|record| record.takes_calls(now));
+            .filter(|record| record.accepts_calls(now));
         let cost = |record: &UpstreamRecord| record.cost(now, self.baseline, &self.settings);
         let cheapest = takes.min_by(|one, other| cost(one).total_cmp(&cost(other)));
         cheapest.map(|record| record.info.node)
@@ -84,16 +86,16 @@
         admitted: impl Fn(NodeId) -> f64,
     ) -> Option<usize> {
         // A first attempt can still be retried, so it is the one to try an ejected upstream.
-        let may_try = exclude.is_empty();
+        let may_start_trial = exclude.is_empty();
         let trusted = |record: &UpstreamRecord| {
-            let ready = !record.health.is_ejected() || may_try;
-            ready && record.takes_calls(now) && !record.info.suspect
+            let ready = !record.health.is_ejected() || may_start_trial;
+            ready && record.accepts_calls(now) && !record.info.suspect
         };
         if let Some(position) = self.choose_where(now, rng, exclude, time_left, &admitted, trusted)
         {
             return Some(position);
         }
-        let any = |record: &UpstreamRecord| record.takes_calls(now);
+        let any = |record: &UpstreamRecord| record.accepts_calls(now);
         if let Some(position) = self.choose_where(now, rng, exclude, time_left, &admitted, any) {
             return Some(position);
         }
@@ -101,7 +103,7 @@
         if !all_ejected {
             return None;
         }
-        self.choose_where(now, rng, exclude, time_left, &admitted, UpstreamRecord::has_room)
+        self.choose_where(now, rng, exclude, time_left, &admitted, UpstreamRecord::has_capacity)
     }
 
     /// The best of two upstreams of each tier that `takes` a call, nearer tiers preferred.
@@ -115,32 +117,33 @@
         takes: impl Fn(&UpstreamRecord) -> bool,
     ) -> Option<usize> {
         let takes = |record: &UpstreamRecord| !exclude.contains(&record.info.node) && takes(record);
-        let mut best: Option<UpstreamChoice> = None;
+        let mut best: Option<UpstreamCandidate> = None;
         for (index, tier) in self.tiers.iter().enumerate() {
-            let mut nearest: Option<UpstreamChoice> = None;
-            for position in self.two_of(tier, rng, &takes).into_iter().flatten() {
+            let mut nearest: Option<UpstreamCandidate> = None;
+            for position in self.draw_two(tier, rng, &takes).into_iter().flatten() {
                 let record = &self.records[position];
-                if record.wants_trial(now) {
+                if record.may_start_trial(now) {
                     return Some(position);
                 }
                 let cost = record.cost(now, self.baseline, &self.settings);
                 let admitted = admitted(record.info.node);
-                let choice = UpstreamChoice { position, admitted, cost };
-                if nearest.is_none_or(|nearest| choice.is_better_than(&nearest)) {
-                    nearest = Some(choice);
+                let candidate = UpstreamCandidate { position, admitted, cost };
+                if nearest.is_none_or(|nearest| candidate.is_better_than(&nearest)) {
+                    nearest = Some(candidate);
                 }
             }
-            let Some(choice) = nearest else { continue };
-            let choice = choice.with_reluctance(self.reluctance(now, index, best, time_left));
-            if best.is_none_or(|best| choice.is_better_than(&best)) {
-                best = Some(choice);
+            let Some(candidate) = nearest else { continue };
+            let candidate =
+                candidate.with_cost_factor(self.cost_factor(now, index, best, time_left));
+            if best.is_none_or(|best| candidate.is_better_than(&best)) {
+                best = Some(candidate);
             }
         }
-        best.map(|choice| choice.position)
+        best.map(|candidate| candidate.position)
     }
 
     /// Up to two different upstreams of `tier` that take a call, drawn at random.
-    fn two_of(
+    fn draw_two(
         &self,
         tier: &[usize],
         rng: &mut impl Rng,
@@ -168,7 +171,7 @@
         if tier.is_empty() {
             return None;
         }
-        for _ in 0..RANDOM_DRAWS {
+        for _ in 0..MAX_RANDOM_DRAWS {
             let position = tier[rng.random_range(0..tier.len())];
             if takes(&self.records[position]) {
                 return Some(position);
@@ -181,11 +184,11 @@
 
     /// Factor on the cost of an upstream of the tier at `index`, for a call with `time_left` that could go to
     /// `nearer`.
-    fn reluctance(
+    fn cost_factor(
         &self,
         now: MonotonicTime,
         index: usize,
-        nearer: Option<UpstreamChoice>,
+        nearer: Option<UpstreamCandidate>,
         time_left: Duration,
     ) -> f64 {
         if index == UpstreamTier::OwnDomain.index() {
@@ -202,16 +205,16 @@
     fn domain_preference(
         &self,
         now: MonotonicTime,
-        nearer: Option<UpstreamChoice>,
+        nearer: Option<UpstreamCandidate>,
         time_left: Duration,
     ) -> f64 {
         let settings = &self.settings;
         let least = f64::from(settings.domain_preference_percent) / 100.0;
-        let most = f64::from(settings.most_domain_preference_percent) / 100.0;
+        let most = f64::from(settings.max_domain_preference_percent) / 100.0;
         let Some(nearer) = nearer else { return least };
         let record = &self.records[nearer.position];
         let latency = record.latency.micros(now, settings.latency_window, self.baseline).max(1.0);
         let times = time_left.as_micros() as f64 / latency;
-        (times / SPARE_TIMES).clamp(least, most)
+        (times / LATENCIES_PER_PREFERENCE).clamp(least, most)
     }
 }
--- a/crates/coltsfootroute/src/routing/upstream_pool/ejecting.rs
+++ b/crates/coltsfootroute/src/routing/upstream_pool/ejecting.rs
@@ -4,14 +4,14 @@
 use crate::{id::NodeId, routing::UpstreamTier, time::MonotonicTime};
 
 /// Least calls between two looks at the median.
-const LEAST_CALLS_PER_BASELINE: usize = 16;
+const MIN_CALLS_PER_BASELINE: usize = 16;
 
 impl UpstreamPool {
     /// Takes the median over the upstreams' averages anew, once for as many calls as there are
     /// upstreams, so that a call's cost does not grow with the pool.
-    pub(super) fn learn_baseline(&mut self) {
+    pub(super) fn update_baseline(&mut self) {
         self.calls_since_baseline += 1;
-        if self.calls_since_baseline < self.records.len().max(LEAST_CALLS_PER_BASELINE) {
+        if self.calls_since_baseline < self.records.len().max(MIN_CALLS_PER_BASELINE) {
             return;
         }
         self.calls_since_baseline = 0;
@@ -56,7 +56,7 @@
         let members = self.live().count();
         let ejected = self.live().filter(|record| record.health.is_ejected()).count();
         let Some(record) = self.records.get_mut(&node) else { return };
-        if record.health.is_ejected() || ejected >= self.settings.most_ejected(members) {
+        if record.health.is_ejected() || ejected >= self.settings.max_ejected(members) {
             return;
         }
         record.health.eject(now, &self.settings);
--- a/crates/coltsfootroute/src/routing/upstream_record.rs
+++ b/crates/coltsfootroute/src/routing/upstream_record.rs
@@ -29,7 +29,7 @@
     /// Share of refusals among recent results, 0 to 1.
     refused_share: f64,
     refused_at: MonotonicTime,
-    warming_since: MonotonicTime,
+    warm_up_start: MonotonicTime,
 }
 
 impl UpstreamRecord {
@@ -39,7 +39,7 @@
         tier: UpstreamTier,
         settings: &RoutingSettings,
     ) -> Self {
-        let share = InFlightShare::new(info.connections, settings.callers, settings.least_share);
+        let share = InFlightShare::new(info.connections, settings.callers, settings.min_share);
         Self {
             leaving_since: info.leaving.then_some(now),
             has_refused_as_leaving: false,
@@ -53,7 +53,7 @@
             stale_in_flight: 0,
             refused_share: 0.0,
             refused_at: now,
-            warming_since: now,
+            warm_up_start: now,
         }
     }
 
@@ -83,13 +83,13 @@
             self.leaving_since.get_or_insert(now);
         }
         self.tier = tier;
-        self.divide_connections(settings);
+        self.update_share(settings);
     }
 
     /// Works out this caller's share anew.
-    pub(super) fn divide_connections(&mut self, settings: &RoutingSettings) {
+    pub(super) fn update_share(&mut self, settings: &RoutingSettings) {
         let connections = self.info.connections;
-        self.share = InFlightShare::new(connections, settings.callers, settings.least_share);
+        self.share = InFlightShare::new(connections, settings.callers, settings.min_share);
     }
 
     /// Whether it belongs to the live part of the pool.
@@ -105,18 +105,18 @@
     }
 
     /// Whether this caller's share has room for a call.
-    pub(super) fn has_room(&self) -> bool {
+    pub(super) fn has_capacity(&self) -> bool {
         self.is_live() && self.in_flight < self.share.0
     }
 
     /// Whether a call may be sent, suspicion aside.
-    pub(super) fn takes_calls(&self, now: MonotonicTime) -> bool {
-        self.has_room() && (!self.health.is_ejected() || self.wants_trial(now))
+    pub(super) fn accepts_calls(&self, now: MonotonicTime) -> bool {
+        self.has_capacity() && (!self.health.is_ejected() || self.may_start_trial(now))
     }
 
     /// Whether a trial call may start: one at a time, and none before the calls that led to the
     /// ejection have ended.
-    pub(super) fn wants_trial(&self, now: MonotonicTime) -> bool {
+    pub(super) fn may_start_trial(&self, now: MonotonicTime) -> bool {
         self.in_flight == 0 && self.health.is_on_trial(now)
     }
 
@@ -129,17 +129,17 @@
     ) -> f64 {
         let slots = f64::from(self.info.slots.max(1));
         // Fewer calls than this caller's part of the slots tell little of the upstream's load.
-        let part = (slots / f64::from(settings.callers.max(1))).clamp(1.0, MOST_PART);
+        let part = (slots / f64::from(settings.callers.max(1))).clamp(1.0, MAX_SLOTS_PER_CALLER);
         let latency = self.latency.micros(now, settings.latency_window, baseline).max(1.0);
         let waiting = f64::from(self.in_flight) + part;
         let room = slots * self.weight(now, settings);
         let refusals = self.recent_refusals(now, settings);
-        latency * waiting / room * (1.0 + REFUSAL_PENALTY * refusals)
+        latency * waiting / room * (1.0 + REFUSAL_COST_FACTOR * refusals)
     }
 
     /// Weight from just above 0 to 1.
     pub(super) fn weight(&self, now: MonotonicTime, settings: &RoutingSettings) -> f64 {
-        let elapsed = now.since(self.warming_since);
+        let elapsed = now.since(self.warm_up_start);
         if elapsed >= settings.slow_start {
             return 1.0;
         }
@@ -187,7 +187,7 @@
         match result {
             RouteResult::Succeeded => {
                 self.latency.record(now, latency, window);
-                self.count_refusal(now, 0.0, settings);
+                self.update_refused_share(now, 0.0, settings);
                 self.succeeded(now, latency, slow_limit, settings);
             }
             RouteResult::Failed => {
@@ -195,7 +195,7 @@
                 self.health.failed(now, settings);
             }
             RouteResult::Unreachable => self.health.failed(now, settings),
-            RouteResult::Refused => self.count_refusal(now, 1.0, settings),
+            RouteResult::Refused => self.update_refused_share(now, 1.0, settings),
             RouteResult::Leaving => {
                 self.info.leaving = true;
                 self.has_refused_as_leaving = true;
@@ -218,7 +218,7 @@
             // What it was like before the ejection must not eject it again.
             self.latency = LatencyAverage::default();
             self.latency.record(now, latency, settings.latency_window);
-            self.warming_since = now;
+            self.warm_up_start = now;
         }
     }
 
@@ -227,16 +227,21 @@
         self.refused_share * (-elapsed.as_secs_f64() / settings.latency_window.as_secs_f64()).exp()
     }
 
-    fn count_refusal(&mut self, now: MonotonicTime, refused: f64, settings: &RoutingSettings) {
+    fn update_refused_share(
+        &mut self,
+        now: MonotonicTime,
+        refused: f64,
+        settings: &RoutingSettings,
+    ) {
         let recent = self.recent_refusals(now, settings);
-        self.refused_share = recent + (refused - recent) * REFUSAL_GAIN;
+        self.refused_share = recent + (refused - recent) * REFUSAL_SAMPLE_WEIGHT;
         self.refused_at = now;
     }
 }
 
 /// Most calls in flight that tell little: keeps spill-over quick where the callers are not counted.
-const MOST_PART: f64 = 8.0;
+const MAX_SLOTS_PER_CALLER: f64 = 8.0;
 /// How much an upstream that refuses everything costs above one that refuses nothing.
-const REFUSAL_PENALTY: f64 = 10.0;
+const REFUSAL_COST_FACTOR: f64 = 10.0;
 /// Weight of one result in the share of refusals.
-const REFUSAL_GAIN: f64 = 0.05;
+const REFUSAL_SAMPLE_WEIGHT: f64 = 0.05;
--- a/crates/coltsfootroute/tests/integration/routing/pool_fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/routing/pool_fuzz.rs
@@ -135,16 +135,16 @@
         });
         let ejected = live.clone().filter(|upstream| is_ejected(upstream.phase)).count();
         if status.ejections > self.ejections {
-            let most = RoutingSettings::default().most_ejected(live.clone().count());
+            let most = RoutingSettings::default().max_ejected(live.clone().count());
             assert!(ejected <= most, "{ejected} ejected, at most {most}");
         }
         self.ejections = status.ejections;
-        let has_room = live.clone().any(|upstream| upstream.in_flight < upstream.share.0);
+        let has_capacity = live.clone().any(|upstream| upstream.in_flight < upstream.share.0);
         let some_serve = live.clone().any(|upstream| !is_ejected(upstream.phase));
         let room_to_serve = live
             .clone()
             .any(|upstream| !is_ejected(upstream.phase) && upstream.in_flight < upstream.share.0);
-        let must_choose = room_to_serve || (!some_serve && has_room);
+        let must_choose = room_to_serve || (!some_serve && has_capacity);
         let choice = self.pool.choose(self.now, &mut self.rng, &[]);
         assert!(choice.is_some() || !must_choose, "{status:?}");
         assert_eq!(self.pool.is_empty(), live.count() == 0);
