--- a/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
@@ -14,7 +14,7 @@
     once::ClaimHolder,
     outcome::{CallOutcome, RefusalReason},
     quarantine::AnsweredRequests,
-    retry::{GuardRoster, ServiceThrottle, ThrottleSettings},
+    retry::{GuardTracker, ServiceThrottle, ThrottleSettings},
 };
 use rand::RngExt;
 use tokio::sync::Notify;
@@ -78,7 +78,7 @@
     /// Bounds the repeats that reach the upstream.
     pub(super) throttle: RefCell<ServiceThrottle>,
     /// The guards of the same service.
-    pub(super) roster: RefCell<GuardRoster>,
+    pub(super) guards: RefCell<GuardTracker>,
     pub(super) upstream_client: UpstreamClient,
     /// Whether a planned stop has been asked for.
     pub(super) is_closing: Cell<bool>,
@@ -117,7 +117,7 @@
             service_changed: Notify::new(),
             cut_calls: RefCell::default(),
             throttle: RefCell::new(ServiceThrottle::new(context.now(), parts.throttle)),
-            roster: RefCell::new(GuardRoster::new(parts.first_start)),
+            guards: RefCell::new(GuardTracker::new(parts.first_start)),
             upstream_client: UpstreamClient::new(context.clock, parts.body_limit, parts.dialect),
             is_closing: Cell::new(false),
             closing_time: parts.closing_time,
--- a/crates/coltsfoot-node/src/dispatch/guard/guarded_call.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/guarded_call.rs
@@ -111,8 +111,8 @@
         let is_own =
             upstream.as_ref().is_some_and(|upstream| upstream.announcement.service == *service);
         let now = self.context.now();
-        if is_own && self.roster.borrow_mut().take_members(now, members) {
-            self.throttle.borrow_mut().note_guard_change(now);
+        if is_own && self.guards.borrow_mut().update(now, members) {
+            self.throttle.borrow_mut().record_guard_change(now);
         }
     }
 
@@ -124,7 +124,7 @@
         }
         let now = self.context.now();
         let mut throttle = self.throttle.borrow_mut();
-        throttle.call(now);
+        throttle.record_call(now);
         if call.is_repeat {
             throttle.charge(now);
         }
@@ -133,7 +133,7 @@
     /// A repeat that was granted has not reached the upstream.
     fn give_back_repeat(&self, call: &CallRequest) {
         if call.is_retry {
-            self.throttle.borrow_mut().give_back(self.context.now(), call.importance);
+            self.throttle.borrow_mut().refund(self.context.now(), call.importance);
         }
     }
 
--- a/crates/coltsfoot-node/src/dispatch/ingress/call_routing.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/call_routing.rs
@@ -242,13 +242,13 @@
             deadline: call.deadline,
             attempts: progress.attempts(),
             rejections: progress.rejections,
-            most_attempts: call.most_attempts,
+            max_attempts: call.most_attempts,
             shedding: self.is_shed(&call.service, call.importance),
             expected: self.times.borrow_mut().needed(now, &call.service, &call.operation),
         };
         let decision = self.policy.decide(now, &mut *self.context.rng.borrow_mut(), &failed);
         let backoff = match decision {
-            RetryDecision::Ask { backoff } => backoff,
+            RetryDecision::Retry { backoff } => backoff,
             RetryDecision::GiveUp(cause) => {
                 self.note_give_up(call, cause);
                 return false;
--- a/crates/coltsfoot-node/src/dispatch/ingress/client_request.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/client_request.rs
@@ -16,7 +16,7 @@
     importance::Importance,
     name::TeamName,
     outcome::{CallOutcome, RefusalReason},
-    retry::OpenAnswer,
+    retry::OpenResult,
     schema::{ClientEntry, OperationEntry, TeamEntry},
     time::MonotonicTime,
 };
@@ -112,7 +112,7 @@
             operation: call.operation,
             importance: check.importance,
             deadline: check.deadline,
-            account: (opened == OpenAnswer::Opened).then_some(self.context.identity.node),
+            account: (opened == OpenResult::Opened).then_some(self.context.identity.node),
             client: match &check.team {
                 Some(team) => queue_share(&team.name, check.turns, request),
                 None => hash_of(&client),
--- a/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
@@ -6,7 +6,7 @@
 use coltsfootroute::{
     event::{DenialReason, EventKind},
     id::{NodeId, RequestId},
-    retry::{GiveUpCause, TakeAnswer as LedgerAnswer, TakeDenial},
+    retry::{AcquireDenial, AcquireResult, GiveUpCause},
 };
 use rand::RngExt;
 use tokio::time::timeout;
@@ -20,19 +20,19 @@
     metrics::ControlKind,
 };
 
-fn denial_reason(denial: TakeDenial) -> DenialReason {
+fn denial_reason(denial: AcquireDenial) -> DenialReason {
     match denial {
-        TakeDenial::UnknownAccount => DenialReason::NoAccount,
-        TakeDenial::BudgetSpent => DenialReason::Exhausted,
-        TakeDenial::DeadlinePassed => DenialReason::Deadline,
+        AcquireDenial::UnknownAccount => DenialReason::NoAccount,
+        AcquireDenial::BudgetSpent => DenialReason::Exhausted,
+        AcquireDenial::DeadlinePassed => DenialReason::Deadline,
     }
 }
 
-fn take_answer(denial: TakeDenial) -> TakeAnswer {
+fn take_answer(denial: AcquireDenial) -> TakeAnswer {
     match denial {
-        TakeDenial::UnknownAccount => TakeAnswer::NoAccount,
-        TakeDenial::BudgetSpent => TakeAnswer::Denied,
-        TakeDenial::DeadlinePassed => TakeAnswer::Late,
+        AcquireDenial::UnknownAccount => TakeAnswer::NoAccount,
+        AcquireDenial::BudgetSpent => TakeAnswer::Denied,
+        AcquireDenial::DeadlinePassed => TakeAnswer::Late,
     }
 }
 
@@ -43,12 +43,12 @@
     /// Takes a token from a retry account kept at this node.
     pub fn take_own_token(&self, request: RequestId, take_id: u64) -> TokenAnswer {
         let mut accounts = self.accounts.borrow_mut();
-        let answer = match accounts.take(self.context.now(), request, take_id) {
-            LedgerAnswer::Granted => {
+        let answer = match accounts.acquire(self.context.now(), request, take_id) {
+            AcquireResult::Granted => {
                 self.context.metrics.retries.granted(accounts.granted(request).unwrap_or_default());
                 TakeAnswer::Granted
             }
-            LedgerAnswer::Denied(denial) => {
+            AcquireResult::Denied(denial) => {
                 self.context.metrics.retries.denied(denial_reason(denial));
                 take_answer(denial)
             }
--- a/crates/coltsfoot-node/src/settings/retry_settings.rs
+++ b/crates/coltsfoot-node/src/settings/retry_settings.rs
@@ -34,7 +34,7 @@
             per_call_thousandths: self.per_thousand,
             per_second_thousandths: self.per_minute * 1_000 / 60,
             burst: self.burst,
-            saving_seconds: self.saving_s,
+            window_seconds: self.saving_s,
         }
     }
 }
--- a/crates/coltsfoot-slopes/src/slopes/decisions.rs
+++ b/crates/coltsfoot-slopes/src/slopes/decisions.rs
@@ -158,7 +158,7 @@
     move || {
         request.0 += 1;
         ledger.open(now, request, 3, deadline);
-        black_box(ledger.take(now, request, 7));
+        black_box(ledger.acquire(now, request, 7));
         ledger.close(request);
     }
 }
--- a/crates/coltsfootroute/benches/routing.rs
+++ b/crates/coltsfootroute/benches/routing.rs
@@ -85,8 +85,8 @@
             bencher.iter(|| {
                 request.0 += 1;
                 ledger.open(MonotonicTime::ZERO, request, 3, deadline);
-                black_box(ledger.take(MonotonicTime::ZERO, request, 7));
-                black_box(ledger.take(MonotonicTime::ZERO, request, 7));
+                black_box(ledger.acquire(MonotonicTime::ZERO, request, 7));
+                black_box(ledger.acquire(MonotonicTime::ZERO, request, 7));
                 ledger.close(request);
             });
         });
--- a/crates/coltsfootroute/src/retry.rs
+++ b/crates/coltsfootroute/src/retry.rs
@@ -6,12 +6,14 @@
 //! upstream bears it.
 
 mod account_ledger;
-mod ask_rate;
+mod acquire_denial;
+mod acquire_result;
+mod demand_rate;
 mod failed_attempt;
 mod give_up_cause;
-mod guard_roster;
+mod guard_tracker;
 mod ledger_settings;
-mod open_answer;
+mod open_result;
 mod recent_calls;
 mod repeat_cause;
 mod retry_account;
@@ -22,21 +24,19 @@
 mod retry_settings;
 mod retry_window;
 mod service_throttle;
-mod take_answer;
-mod take_denial;
 mod throttle_settings;
 
 pub use account_ledger::AccountLedger;
+pub use acquire_denial::AcquireDenial;
+pub use acquire_result::AcquireResult;
 pub use failed_attempt::FailedAttempt;
 pub use give_up_cause::GiveUpCause;
-pub use guard_roster::GuardRoster;
+pub use guard_tracker::GuardTracker;
 pub use ledger_settings::LedgerSettings;
-pub use open_answer::OpenAnswer;
+pub use open_result::OpenResult;
 pub use repeat_cause::RepeatCause;
 pub use retry_decision::RetryDecision;
 pub use retry_policy::RetryPolicy;
 pub use retry_settings::RetrySettings;
 pub use service_throttle::ServiceThrottle;
-pub use take_answer::TakeAnswer;
-pub use take_denial::TakeDenial;
 pub use throttle_settings::ThrottleSettings;
--- a/crates/coltsfootroute/src/retry/account_ledger.rs
+++ b/crates/coltsfootroute/src/retry/account_ledger.rs
@@ -4,7 +4,9 @@
 
 use indexmap::IndexMap;
 
-use super::{LedgerSettings, OpenAnswer, TakeAnswer, TakeDenial, retry_account::RetryAccount};
+use super::{
+    AcquireDenial, AcquireResult, LedgerSettings, OpenResult, retry_account::RetryAccount,
+};
 use crate::{id::RequestId, time::MonotonicTime};
 
 /// Retry accounts at the node where client requests enter.
@@ -14,7 +16,7 @@
 /// id that was granted. A lost message costs a token at most and never yields one; a repeated message
 /// finds the answer that it got before; a ledger that died knows no accounts and denies.
 ///
-/// Invariants: at most `most_accounts` accounts; each account has one entry in `expiries`.
+/// Invariants: at most `max_accounts` accounts; each account has one entry in `expiries`.
 #[derive(Clone, Debug)]
 pub struct AccountLedger {
     settings: LedgerSettings,
@@ -42,28 +44,33 @@
         request: RequestId,
         budget: u32,
         deadline: MonotonicTime,
-    ) -> OpenAnswer {
+    ) -> OpenResult {
         self.expire(now);
         if self.accounts.contains_key(&request) {
-            return OpenAnswer::AlreadyOpen;
+            return OpenResult::AlreadyOpen;
         }
-        if self.accounts.len() >= self.settings.most_accounts {
-            return OpenAnswer::Full;
+        if self.accounts.len() >= self.settings.max_accounts {
+            return OpenResult::Full;
         }
         let expires_at = deadline + self.settings.expiry_margin;
         let account = RetryAccount::new(budget, deadline);
         self.accounts.insert(request, AccountEntry { account, expires_at });
         self.expiries.insert((expires_at, request));
-        OpenAnswer::Opened
+        OpenResult::Opened
     }
 
-    /// Takes a token for one retry. `take_id` is drawn at random by the asker, once for each retry:
+    /// Takes a token for one retry. `token_id` is drawn at random by the asker, once for each retry:
     /// the same id again gets the same answer and costs nothing.
-    pub fn take(&mut self, now: MonotonicTime, request: RequestId, take_id: u64) -> TakeAnswer {
+    pub fn acquire(
+        &mut self,
+        now: MonotonicTime,
+        request: RequestId,
+        token_id: u64,
+    ) -> AcquireResult {
         self.expire(now);
         match self.accounts.get_mut(&request) {
-            Some(entry) => entry.account.take(now, take_id),
-            None => TakeAnswer::Denied(TakeDenial::UnknownAccount),
+            Some(entry) => entry.account.acquire(now, token_id),
+            None => AcquireResult::Denied(AcquireDenial::UnknownAccount),
         }
     }
 
--- a/crates/coltsfootroute/src/retry/take_denial.rs
+++ b/crates/coltsfootroute/src/retry/acquire_denial.rs
@@ -2,7 +2,7 @@
 
 value_type! {
     /// Why an account gave no token.
-    pub enum TakeDenial {
+    pub enum AcquireDenial {
         /// The account was never opened, is closed or has expired.
         UnknownAccount,
         /// All tokens of the request are taken.
@@ -12,7 +12,7 @@
     }
 }
 
-impl TakeDenial {
+impl AcquireDenial {
     /// The denial's name in logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/coltsfootroute/src/retry/take_answer.rs
+++ b/crates/coltsfootroute/src/retry/acquire_result.rs
@@ -1,13 +1,13 @@
 //! Answer to the taking of a token.
 
-use super::TakeDenial;
+use super::AcquireDenial;
 
 value_type! {
     /// Whether a retry may go ahead.
-    pub enum TakeAnswer {
+    pub enum AcquireResult {
         /// One token is taken: the asker may retry once.
         Granted,
         /// No token: the asker must not retry.
-        Denied(TakeDenial),
+        Denied(AcquireDenial),
     }
 }
--- a/crates/coltsfootroute/src/retry/failed_attempt.rs
+++ b/crates/coltsfootroute/src/retry/failed_attempt.rs
@@ -25,7 +25,7 @@
         /// Those of `attempts` that an upstream has rejected, at most as many.
         pub rejections: u32,
         /// Attempts that the operation allows; `None` where it sets no bound.
-        pub most_attempts: Option<u32>,
+        pub max_attempts: Option<u32>,
         /// Whether the service sheds calls of this importance now.
         pub shedding: bool,
         /// Time that the call is expected to take; `None` where unknown.
--- a/crates/coltsfootroute/src/retry/ledger_settings.rs
+++ b/crates/coltsfootroute/src/retry/ledger_settings.rs
@@ -6,7 +6,7 @@
     /// Settings of an [`AccountLedger`](super::AccountLedger).
     pub struct LedgerSettings {
         /// Most accounts open at a time; a request beyond gets no retries.
-        pub most_accounts: usize,
+        pub max_accounts: usize,
         /// How long after its deadline an account still answers repeated messages.
         pub expiry_margin: Duration,
     }
@@ -14,14 +14,14 @@
 
 impl Default for LedgerSettings {
     fn default() -> Self {
-        Self { most_accounts: 65_536, expiry_margin: Duration::from_secs(1) }
+        Self { max_accounts: 65_536, expiry_margin: Duration::from_secs(1) }
     }
 }
 
 impl LedgerSettings {
     /// Sets the most accounts open at a time.
-    pub fn with_most_accounts(mut self, most_accounts: usize) -> Self {
-        self.most_accounts = most_accounts;
+    pub fn with_max_accounts(mut self, max_accounts: usize) -> Self {
+        self.max_accounts = max_accounts;
         self
     }
 }
--- a/crates/coltsfootroute/src/retry/open_answer.rs
+++ b/crates/coltsfootroute/src/retry/open_result.rs
@@ -2,7 +2,7 @@
 
 value_type! {
     /// Whether an account was opened.
-    pub enum OpenAnswer {
+    pub enum OpenResult {
         /// The account is open.
         Opened,
         /// An account of that request is open already and stays as it is.
--- a/crates/coltsfootroute/src/retry/recent_calls.rs
+++ b/crates/coltsfootroute/src/retry/recent_calls.rs
@@ -5,9 +5,9 @@
 use crate::time::MonotonicTime;
 
 /// Thousandths of a retry in a retry.
-pub(super) const WHOLE: u64 = 1_000;
+pub(super) const THOUSANDTHS_PER_RETRY: u64 = 1_000;
 /// Microseconds in a second.
-pub(super) const SECOND_MICROS: u64 = 1_000_000;
+pub(super) const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// Counts calls, or retries of them, by the second, and forgets them after a fixed number of seconds.
 ///
@@ -39,7 +39,7 @@
     }
 
     /// Takes back a call counted in the second under way; an earlier one stays.
-    pub fn take_back(&mut self, now: MonotonicTime) {
+    pub fn uncount(&mut self, now: MonotonicTime) {
         self.advance(now);
         let taken = self.current.min(1);
         self.current -= taken;
@@ -60,7 +60,7 @@
     }
 
     fn advance(&mut self, now: MonotonicTime) {
-        let second = now.0 / SECOND_MICROS;
+        let second = now.0 / MICROS_PER_SECOND;
         let passed = second.saturating_sub(self.newest).min(self.seconds);
         self.newest = second.max(self.newest);
         for _ in 0..passed {
--- a/crates/coltsfootroute/src/retry/retry_account.rs
+++ b/crates/coltsfootroute/src/retry/retry_account.rs
@@ -1,6 +1,6 @@
 //! Account of one client request.
 
-use super::{TakeAnswer, TakeDenial};
+use super::{AcquireDenial, AcquireResult};
 use crate::time::MonotonicTime;
 
 /// Tokens of one client request.
@@ -20,18 +20,18 @@
         Self { budget, deadline, granted: Vec::new() }
     }
 
-    pub(super) fn take(&mut self, now: MonotonicTime, take_id: u64) -> TakeAnswer {
-        if self.granted.contains(&take_id) {
-            return TakeAnswer::Granted;
+    pub(super) fn acquire(&mut self, now: MonotonicTime, token_id: u64) -> AcquireResult {
+        if self.granted.contains(&token_id) {
+            return AcquireResult::Granted;
         }
         if self.deadline <= now {
-            return TakeAnswer::Denied(TakeDenial::DeadlinePassed);
+            return AcquireResult::Denied(AcquireDenial::DeadlinePassed);
         }
         if self.granted_count() >= self.budget {
-            return TakeAnswer::Denied(TakeDenial::BudgetSpent);
+            return AcquireResult::Denied(AcquireDenial::BudgetSpent);
         }
-        self.granted.push(take_id);
-        TakeAnswer::Granted
+        self.granted.push(token_id);
+        AcquireResult::Granted
     }
 
     pub(super) fn remaining(&self) -> u32 {
--- a/crates/coltsfootroute/src/retry/retry_decision.rs
+++ b/crates/coltsfootroute/src/retry/retry_decision.rs
@@ -8,7 +8,7 @@
     /// What to do about a failed attempt.
     pub enum RetryDecision {
         /// Take a token from the request's account; if granted, retry after `backoff`.
-        Ask {
+        Retry {
             /// Jittered wait before the retry.
             backoff: Duration,
         },
--- a/crates/coltsfootroute/src/retry/retry_policy.rs
+++ b/crates/coltsfootroute/src/retry/retry_policy.rs
@@ -29,7 +29,7 @@
         rng: &mut impl Rng,
         attempt: &FailedAttempt,
     ) -> RetryDecision {
-        if let Some(cause) = self.obstacle(attempt) {
+        if let Some(cause) = self.give_up_cause(attempt) {
             return RetryDecision::GiveUp(cause);
         }
         let backoff = self.backoff(rng, attempt);
@@ -37,10 +37,10 @@
         if attempt.deadline <= now + backoff + expected {
             return RetryDecision::GiveUp(GiveUpCause::TooLate);
         }
-        RetryDecision::Ask { backoff }
+        RetryDecision::Retry { backoff }
     }
 
-    fn obstacle(&self, attempt: &FailedAttempt) -> Option<GiveUpCause> {
+    fn give_up_cause(&self, attempt: &FailedAttempt) -> Option<GiveUpCause> {
         if attempt.outcome == CallOutcome::Completed {
             return Some(GiveUpCause::Completed);
         }
@@ -59,11 +59,11 @@
         if attempt.shedding {
             return Some(GiveUpCause::Shedding);
         }
-        let own_bound = self.settings.most_attempts;
-        let bound = attempt.most_attempts.map_or(own_bound, |most| most.min(own_bound));
+        let own_max = self.settings.max_attempts;
+        let bound = attempt.max_attempts.map_or(own_max, |max| max.min(own_max));
         // What an upstream has rejected has cost it next to nothing.
         let counted = attempt.attempts.saturating_sub(attempt.rejections);
-        let is_spent = counted >= bound || attempt.attempts >= self.settings.most_sends;
+        let is_spent = counted >= bound || attempt.attempts >= self.settings.max_sends;
         is_spent.then_some(GiveUpCause::AttemptsSpent)
     }
 
@@ -73,9 +73,9 @@
             return Duration::ZERO;
         }
         let doublings = attempt.attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-        let longest = self.settings.first_backoff.saturating_mul(1 << doublings);
-        let longest = longest.min(self.settings.longest_backoff);
-        let micros = u64::try_from(longest.as_micros()).unwrap_or(u64::MAX);
+        let max_backoff = self.settings.initial_backoff.saturating_mul(1 << doublings);
+        let max_backoff = max_backoff.min(self.settings.max_backoff);
+        let micros = u64::try_from(max_backoff.as_micros()).unwrap_or(u64::MAX);
         Duration::from_micros(rng.random_range(0..=micros))
     }
 }
--- a/crates/coltsfootroute/src/retry/retry_window.rs
+++ b/crates/coltsfootroute/src/retry/retry_window.rs
@@ -4,14 +4,14 @@
 
 use super::{
     ThrottleSettings,
-    recent_calls::{RecentCalls, WHOLE},
+    recent_calls::{RecentCalls, THOUSANDTHS_PER_RETRY},
     retry_demand::RetryDemand,
 };
 use crate::{importance::Importance, time::MonotonicTime};
 
 /// Seconds that the count of retries reaches further back than that of calls: both are counted by whole seconds, and
 /// in no window may more be spent than its own calls have earned.
-const MARGIN_SECONDS: u64 = 1;
+const EXTRA_SPENT_SECONDS: u64 = 1;
 
 /// Grants retries as long as those of the last seconds are fewer than the calls of a window earn, the more important first.
 ///
@@ -37,39 +37,39 @@
 impl RetryWindow {
     /// A window that has seen nothing.
     pub fn new(settings: ThrottleSettings) -> Self {
-        let calls = RecentCalls::new(settings.saving_seconds * 2);
-        let spent = RecentCalls::new(settings.saving_seconds + MARGIN_SECONDS);
-        let demand = RetryDemand::new(settings.saving_seconds);
+        let calls = RecentCalls::new(settings.window_seconds * 2);
+        let spent = RecentCalls::new(settings.window_seconds + EXTRA_SPENT_SECONDS);
+        let demand = RetryDemand::new(settings.window_seconds);
         Self { settings, calls, spent, demand, guard_change: None }
     }
 
     /// Another guard of the service has come, gone or begun anew.
-    pub fn note_guard_change(&mut self, now: MonotonicTime) {
+    pub fn record_guard_change(&mut self, now: MonotonicTime) {
         self.guard_change = Some(now);
     }
 
     /// Counts a first attempt into the service.
-    pub fn call(&mut self, now: MonotonicTime) {
+    pub fn record_call(&mut self, now: MonotonicTime) {
         self.calls.count(now);
     }
 
     /// Whether the service bears one more retry now; if so, it is counted.
     pub fn try_retry(&mut self, now: MonotonicTime, importance: Importance) -> bool {
-        self.demand.ask(now, importance);
+        self.demand.record_request(now, importance);
         let reserved = self.demand.reserved_above(now, importance);
         let needed = self.spent.total(now).saturating_add(reserved).saturating_add(1);
-        let is_granted = needed.saturating_mul(WHOLE) <= self.earned(now);
+        let is_granted = needed.saturating_mul(THOUSANDTHS_PER_RETRY) <= self.earned(now);
         if is_granted {
             self.spent.count(now);
-            self.demand.grant(now, importance);
+            self.demand.record_grant(now, importance);
         }
         is_granted
     }
 
     /// Takes back a retry that was granted and did not happen.
-    pub fn give_back(&mut self, now: MonotonicTime, importance: Importance) {
-        self.spent.take_back(now);
-        self.demand.give_back(now, importance);
+    pub fn refund(&mut self, now: MonotonicTime, importance: Importance) {
+        self.spent.uncount(now);
+        self.demand.refund(now, importance);
     }
 
     /// Counts a repeat that could not be helped.
@@ -79,17 +79,17 @@
 
     /// Thousandths of a retry.
     fn earned(&mut self, now: MonotonicTime) -> u64 {
-        let newest = self.calls.newest(now, self.settings.saving_seconds);
+        let newest = self.calls.newest(now, self.settings.window_seconds);
         let before = self.calls.total(now) - newest;
-        let moved = self.have_calls_moved(now);
+        let moved = self.may_calls_have_moved(now);
         let earning = if moved { (newest + before) / 2 } else { newest.max(before) };
         let earned = earning.saturating_mul(self.settings.per_call_thousandths);
-        earned.max(self.settings.burst.saturating_mul(WHOLE))
+        earned.max(self.settings.burst.saturating_mul(THOUSANDTHS_PER_RETRY))
     }
 
     /// Whether calls of the last two windows may have moved from one guard to another.
-    fn have_calls_moved(&self, now: MonotonicTime) -> bool {
-        let windows = Duration::from_secs(self.settings.saving_seconds * 2);
+    fn may_calls_have_moved(&self, now: MonotonicTime) -> bool {
+        let windows = Duration::from_secs(self.settings.window_seconds * 2);
         self.guard_change.is_some_and(|change| now < change + windows)
     }
 }
--- a/crates/coltsfootroute/src/retry/service_throttle.rs
+++ b/crates/coltsfootroute/src/retry/service_throttle.rs
@@ -21,7 +21,7 @@
 impl ServiceThrottle {
     /// A throttle with its burst saved up.
     pub fn new(now: MonotonicTime, settings: ThrottleSettings) -> Self {
-        let bound = match settings.saving_seconds {
+        let bound = match settings.window_seconds {
             0 => RetryBound::Bucket(RetryBucket::new(now, settings)),
             _ => RetryBound::Window(Box::new(RetryWindow::new(settings))),
         };
@@ -29,18 +29,18 @@
     }
 
     /// Another guard of the service, with a throttle of its own, has come, gone or begun anew.
-    pub fn note_guard_change(&mut self, now: MonotonicTime) {
+    pub fn record_guard_change(&mut self, now: MonotonicTime) {
         match &mut self.bound {
             RetryBound::Bucket(_) => {}
-            RetryBound::Window(window) => window.note_guard_change(now),
+            RetryBound::Window(window) => window.record_guard_change(now),
         }
     }
 
     /// Counts a first attempt.
-    pub fn call(&mut self, now: MonotonicTime) {
+    pub fn record_call(&mut self, now: MonotonicTime) {
         match &mut self.bound {
-            RetryBound::Bucket(bucket) => bucket.call(),
-            RetryBound::Window(window) => window.call(now),
+            RetryBound::Bucket(bucket) => bucket.record_call(),
+            RetryBound::Window(window) => window.record_call(now),
         }
     }
 
@@ -53,10 +53,10 @@
     }
 
     /// Gives back a retry that did not reach the upstream.
-    pub fn give_back(&mut self, now: MonotonicTime, importance: Importance) {
+    pub fn refund(&mut self, now: MonotonicTime, importance: Importance) {
         match &mut self.bound {
-            RetryBound::Bucket(bucket) => bucket.give_back(),
-            RetryBound::Window(window) => window.give_back(now, importance),
+            RetryBound::Bucket(bucket) => bucket.refund(),
+            RetryBound::Window(window) => window.refund(now, importance),
         }
     }
 
--- a/crates/coltsfootroute/src/retry/throttle_settings.rs
+++ b/crates/coltsfootroute/src/retry/throttle_settings.rs
@@ -12,7 +12,7 @@
         pub burst: u64,
         /// Length of the window in whole seconds: its calls earn what may be spent in it, and time earns nothing. Zero
         /// where only the burst is saved up.
-        pub saving_seconds: u64,
+        pub window_seconds: u64,
     }
 }
 
@@ -22,7 +22,7 @@
             per_call_thousandths: 100,
             per_second_thousandths: 1_000,
             burst: 20,
-            saving_seconds: 0,
+            window_seconds: 0,
         }
     }
 }
--- a/crates/coltsfootroute/tests/integration/retry.rs
+++ b/crates/coltsfootroute/tests/integration/retry.rs
@@ -1,7 +1,7 @@
 //! Retry accounts, policy and throttle.
 
 mod account_fuzz;
-mod guard_roster;
+mod guard_tracker;
 mod rejecting_service;
 mod scenarios;
 mod shared_bound;
--- a/crates/coltsfootroute/tests/integration/retry/account_fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/retry/account_fuzz.rs
@@ -5,7 +5,7 @@
 
 use coltsfootroute::{
     id::RequestId,
-    retry::{AccountLedger, LedgerSettings, TakeAnswer},
+    retry::{AccountLedger, AcquireResult, LedgerSettings},
     time::MonotonicTime,
 };
 use indexmap::IndexMap;
@@ -199,8 +199,8 @@
 
 impl LedgerUnderTest {
     /// The asker acts on the ledger's own answer, not on the oracle's.
-    fn take(&mut self, now: MonotonicTime, request: u128, id: u64) -> bool {
-        let granted = self.ledger.take(now, RequestId(request), id) == TakeAnswer::Granted;
+    fn acquire(&mut self, now: MonotonicTime, request: u128, id: u64) -> bool {
+        let granted = self.ledger.acquire(now, RequestId(request), id) == AcquireResult::Granted;
         if granted && self.waiting.insert(id) {
             *self.retries.entry(request).or_default() += 1;
         }
@@ -235,7 +235,7 @@
             }
             Step::Deliver(_) => {
                 if let Some(Message::Take { request, id }) = oracle.delivered {
-                    let granted = state.take(now, request, id);
+                    let granted = state.acquire(now, request, id);
                     let Some(Message::Answer { granted: expected, .. }) = oracle.network.last()
                     else {
                         panic!("a delivered take has an answer");
--- a/crates/coltsfootroute/tests/integration/retry/guard_roster.rs
+++ b/crates/coltsfootroute/tests/integration/retry/guard_tracker.rs
@@ -4,7 +4,7 @@
     id::{Incarnation, NodeId},
     membership::{MemberRecord, MemberState},
     name::{DomainName, RegionName},
-    retry::GuardRoster,
+    retry::GuardTracker,
     time::MonotonicTime,
 };
 
@@ -21,18 +21,18 @@
     MemberRecord { state: MemberState::Dead, ..member(port, 1) }
 }
 
-/// A roster that has long known two guards.
-fn settled() -> GuardRoster {
-    let mut roster = GuardRoster::new(false);
-    roster.take_members(LATER, &[member(1, 1), member(2, 1)]);
-    roster
+/// A tracker that has long known two guards.
+fn settled() -> GuardTracker {
+    let mut tracker = GuardTracker::new(false);
+    tracker.update(LATER, &[member(1, 1), member(2, 1)]);
+    tracker
 }
 
 #[test]
 fn the_same_guards_in_another_order_are_no_change() {
-    let mut roster = settled();
+    let mut tracker = settled();
 
-    assert!(!roster.take_members(LATER, &[member(2, 1), member(1, 1)]));
+    assert!(!tracker.update(LATER, &[member(2, 1), member(1, 1)]));
 }
 
 #[test]
@@ -42,25 +42,25 @@
         vec![member(1, 1), member(2, 1), member(3, 1)],
         vec![member(1, 1), member(2, 2)],
     ] {
-        let mut roster = settled();
+        let mut tracker = settled();
 
-        assert!(roster.take_members(LATER, &members), "{members:?}");
+        assert!(tracker.update(LATER, &members), "{members:?}");
     }
 }
 
 #[test]
 fn guards_that_start_with_the_deployment_have_had_no_calls() {
-    let mut roster = GuardRoster::new(true);
+    let mut tracker = GuardTracker::new(true);
 
-    let at_start = roster.take_members(MonotonicTime::from_millis(500), &[member(1, 1)]);
-    let later = roster.take_members(LATER, &[member(1, 1), member(2, 1)]);
+    let at_start = tracker.update(MonotonicTime::from_millis(500), &[member(1, 1)]);
+    let later = tracker.update(LATER, &[member(1, 1), member(2, 1)]);
 
     assert_eq!([at_start, later], [false, true]);
 }
 
 #[test]
 fn a_guard_that_starts_alone_may_have_had_calls_in_an_earlier_life() {
-    let mut roster = GuardRoster::new(false);
+    let mut tracker = GuardTracker::new(false);
 
-    assert!(roster.take_members(MonotonicTime::from_millis(500), &[member(1, 1)]));
+    assert!(tracker.update(MonotonicTime::from_millis(500), &[member(1, 1)]));
 }
--- a/crates/coltsfootroute/tests/integration/retry/rejecting_service.rs
+++ b/crates/coltsfootroute/tests/integration/retry/rejecting_service.rs
@@ -49,7 +49,7 @@
         per_call_thousandths: 200,
         per_second_thousandths: 0,
         burst: 1,
-        saving_seconds: 10,
+        window_seconds: 10,
     }
 }
 
@@ -64,7 +64,7 @@
 ) -> bool {
     let mut account = ACCOUNT;
     for _ in 0..CALLS_OF_CHAIN {
-        throttle.call(now);
+        throttle.record_call(now);
         result.calls += 1;
         while rng.random_bool(REJECTED_SHARE) {
             if account == 0 || !throttle.try_retry(now, seen_as(importance)) {
@@ -83,7 +83,7 @@
     let mut rng = Pcg64::seed_from_u64(1);
     for millis in (0..CALM_SECONDS * 1_000).step_by(10) {
         let calls = 4 * CALLS_OF_CHAIN;
-        (0..calls).for_each(|_| throttle.call(MonotonicTime::from_millis(millis)));
+        (0..calls).for_each(|_| throttle.record_call(MonotonicTime::from_millis(millis)));
     }
     let mut result = ChainResult::default();
     let bad = CALM_SECONDS * 1_000..(CALM_SECONDS + BAD_SECONDS) * 1_000;
--- a/crates/coltsfootroute/tests/integration/retry/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/retry/scenarios.rs
@@ -7,8 +7,8 @@
     importance::Importance,
     outcome::RefusalReason,
     retry::{
-        AccountLedger, FailedAttempt, LedgerSettings, OpenAnswer, RetryDecision, RetryPolicy,
-        ServiceThrottle, TakeAnswer, ThrottleSettings,
+        AccountLedger, AcquireResult, FailedAttempt, LedgerSettings, OpenResult, RetryDecision,
+        RetryPolicy, ServiceThrottle, ThrottleSettings,
     },
     time::MonotonicTime,
 };
@@ -26,7 +26,7 @@
 
 fn fixture() -> RetryFixture {
     let now = MonotonicTime::ZERO;
-    let settings = LedgerSettings::default().with_most_accounts(3);
+    let settings = LedgerSettings::default().with_max_accounts(3);
     RetryFixture {
         now,
         ledger: AccountLedger::new(settings),
@@ -48,7 +48,7 @@
             "calls" => {
                 let now = self.now;
                 let count: u32 = case.take_arg("count").unwrap();
-                (0..count).for_each(|_| self.throttle.call(now));
+                (0..count).for_each(|_| self.throttle.record_call(now));
             }
             "retries" => return self.retries(case),
             other => panic!("unknown directive {other}"),
@@ -61,18 +61,18 @@
         let budget = case.take_arg("budget").unwrap();
         let answer = self.ledger.open(self.now, request(case), budget, deadline);
         let text = match answer {
-            OpenAnswer::Opened => "opened",
-            OpenAnswer::AlreadyOpen => "already open",
-            OpenAnswer::Full => "full",
+            OpenResult::Opened => "opened",
+            OpenResult::AlreadyOpen => "already open",
+            OpenResult::Full => "full",
         };
         format!("{text}\n")
     }
 
     fn take(&mut self, case: &mut TestCase) -> String {
-        let take_id = case.take_arg("id").unwrap();
-        match self.ledger.take(self.now, request(case), take_id) {
-            TakeAnswer::Granted => "granted\n".to_owned(),
-            TakeAnswer::Denied(denial) => format!("denied: {}\n", denial.as_str()),
+        let token_id = case.take_arg("id").unwrap();
+        match self.ledger.acquire(self.now, request(case), token_id) {
+            AcquireResult::Granted => "granted\n".to_owned(),
+            AcquireResult::Denied(denial) => format!("denied: {}\n", denial.as_str()),
         }
     }
 
@@ -88,13 +88,13 @@
             deadline: MonotonicTime::from_millis(case.take_arg("deadline").unwrap()),
             attempts: case.try_take_arg("attempts").unwrap().unwrap_or(1),
             rejections: case.try_take_arg("rejections").unwrap().unwrap_or(0),
-            most_attempts: case.try_take_arg("most-attempts").unwrap(),
+            max_attempts: case.try_take_arg("most-attempts").unwrap(),
             shedding: case.take_flag("shedding").unwrap(),
             expected: expected.map(Duration::from_millis),
         };
         match RetryPolicy::default().decide(self.now, &mut self.rng, &attempt) {
-            RetryDecision::Ask { backoff } if backoff.is_zero() => "ask, at once\n".to_owned(),
-            RetryDecision::Ask { .. } => "ask, after a backoff\n".to_owned(),
+            RetryDecision::Retry { backoff } if backoff.is_zero() => "ask, at once\n".to_owned(),
+            RetryDecision::Retry { .. } => "ask, after a backoff\n".to_owned(),
             RetryDecision::GiveUp(cause) => format!("give up: {}\n", cause.as_str()),
         }
     }
--- a/crates/coltsfootroute/tests/integration/retry/shared_bound.rs
+++ b/crates/coltsfootroute/tests/integration/retry/shared_bound.rs
@@ -32,7 +32,7 @@
         per_call_thousandths: PER_CALL_THOUSANDTHS,
         per_second_thousandths: 0,
         burst: 1,
-        saving_seconds: WINDOW / 1_000,
+        window_seconds: WINDOW / 1_000,
     }
 }
 
@@ -71,7 +71,7 @@
             tried.push(index);
             let throttle = &mut self.guards[index].throttle;
             if attempt == 0 {
-                throttle.call(at(millis));
+                throttle.record_call(at(millis));
             } else if throttle.try_retry(at(millis), Importance::Normal) {
                 self.repeats.push(millis + rng.random_range(0..=self.longest_wait));
             } else {
@@ -92,7 +92,7 @@
             guard.away_until = millis + lasts;
             if forgets {
                 guard.throttle = ServiceThrottle::new(at(guard.away_until), settings());
-                guard.throttle.note_guard_change(at(guard.away_until));
+                guard.throttle.record_guard_change(at(guard.away_until));
             }
         }
     }
@@ -100,7 +100,7 @@
     /// All guards hear of what has come and gone, some time after.
     fn tell_guards(&mut self, millis: u64) {
         for guard in &mut self.guards {
-            guard.throttle.note_guard_change(at(millis));
+            guard.throttle.record_guard_change(at(millis));
         }
     }
 
--- a/crates/coltsfootroute/tests/integration/retry/throttle.rs
+++ b/crates/coltsfootroute/tests/integration/retry/throttle.rs
@@ -19,13 +19,13 @@
         per_call_thousandths: 100,
         per_second_thousandths: 0,
         burst: 2,
-        saving_seconds: 0,
+        window_seconds: 0,
     }
 }
 
 /// Saves up what the calls of ten seconds have earned.
 fn saving_throttle() -> ServiceThrottle {
-    ServiceThrottle::new(START, ThrottleSettings { saving_seconds: 10, ..settings() })
+    ServiceThrottle::new(START, ThrottleSettings { window_seconds: 10, ..settings() })
 }
 
 /// Calls at 100 a second in the given seconds; after each in `failing` a retry is tried. Gives the
@@ -34,7 +34,7 @@
     let mut granted = Vec::new();
     for millis in (0..seconds * 1_000).step_by(10) {
         let now = MonotonicTime::from_millis(millis);
-        throttle.call(now);
+        throttle.record_call(now);
         if failing.contains(&(millis / 1_000)) && throttle.try_retry(now, Importance::Normal) {
             granted.push(millis);
         }
@@ -60,10 +60,10 @@
     }
 
     for _ in 0..19 {
-        throttle.call(START);
+        throttle.record_call(START);
     }
     let before = throttle.try_retry(START, Importance::Normal);
-    throttle.call(START);
+    throttle.record_call(START);
     let after = throttle.try_retry(START, Importance::Normal);
 
     assert!(!before, "19 calls pay for 1.9 repeats, and one is owed");
@@ -76,7 +76,7 @@
     let mut repeats = 0;
 
     for call in 0..10_000 {
-        throttle.call(START);
+        throttle.record_call(START);
         // Every fifteenth call is nested below work that is run again; each tenth call fails.
         if call % 15 == 0 {
             throttle.charge(START);
@@ -134,7 +134,7 @@
         throttle.try_retry(START, Importance::Normal),
     ];
 
-    throttle.give_back(START, Importance::Normal);
+    throttle.refund(START, Importance::Normal);
     let again = [
         throttle.try_retry(START, Importance::Normal),
         throttle.try_retry(START, Importance::Normal),
@@ -150,7 +150,7 @@
     granted(&mut throttle, 10, 0..0);
 
     let late = MonotonicTime::from_millis(60_000);
-    throttle.call(late);
+    throttle.record_call(late);
     let granted = (0..100).filter(|_| throttle.try_retry(late, Importance::Normal)).count();
 
     assert_eq!(granted, 2, "the burst alone");
