--- a/crates/coltsfoot-node/src/dispatch/links/quarantine_desk.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/quarantine_desk.rs
@@ -261,7 +261,7 @@
     fn tell(self: &Rc<Self>, mut news: QuarantineNews, fanout: usize) {
         let now = self.context.now();
         let mut budget = self.crash_budget.borrow_mut();
-        news.crashes.retain(|_| budget.take(now, 0.0, Duration::ZERO).is_some());
+        news.crashes.retain(|_| budget.acquire(now, 0.0, Duration::ZERO).is_some());
         drop(budget);
         if news.is_empty() {
             return;
--- a/crates/coltsfoot-node/src/journal/line_budget.rs
+++ b/crates/coltsfoot-node/src/journal/line_budget.rs
@@ -62,7 +62,7 @@
             true => (&mut self.successes, &mut self.left_out.successes),
             false => (&mut self.failures, &mut self.left_out.failures),
         };
-        let admitted = bucket.take(now, 0.0, Duration::ZERO).is_some();
+        let admitted = bucket.acquire(now, 0.0, Duration::ZERO).is_some();
         *left_out += u64::from(!admitted);
         admitted
     }
--- a/crates/coltsfoot-node/src/store/store_worker.rs
+++ b/crates/coltsfoot-node/src/store/store_worker.rs
@@ -161,7 +161,7 @@
     ) -> Result<(), NotSent> {
         let left = deadline.saturating_duration_since(Instant::now());
         let now = self.now();
-        let wait = self.policy.borrow_mut().budget.take(now, request, store_use, left);
+        let wait = self.policy.borrow_mut().budget.acquire(now, request, store_use, left);
         sleep(wait.ok_or(NotSent)?).await;
         Ok(())
     }
--- a/crates/coltsfoot-node/tests/integration/store.rs
+++ b/crates/coltsfoot-node/tests/integration/store.rs
@@ -26,14 +26,14 @@
 fn breaker_after(failures: u32) -> BreakerSettings {
     BreakerSettings {
         failures_to_open: failures,
-        shortest_open: NEVER,
-        longest_open: NEVER,
+        initial_open: NEVER,
+        max_open: NEVER,
         probe_timeout: NEVER,
     }
 }
 
 fn no_retry() -> StoreBackoff {
-    StoreBackoff { attempts: 1, ..StoreBackoff::default() }
+    StoreBackoff { max_attempts: 1, ..StoreBackoff::default() }
 }
 
 #[tokio::test]
@@ -157,7 +157,7 @@
 
 #[tokio::test]
 async fn a_probe_closes_the_breaker_again() {
-    let short = BreakerSettings { shortest_open: Duration::from_millis(1), ..breaker_after(1) };
+    let short = BreakerSettings { initial_open: Duration::from_millis(1), ..breaker_after(1) };
     let fixture = StoreFixture::with_settings(|settings| {
         settings.with_breaker(short).with_backoff(no_retry())
     });
@@ -286,7 +286,7 @@
 
 #[tokio::test]
 async fn an_outage_is_reported_once_from_start_to_end() {
-    let short = BreakerSettings { shortest_open: Duration::from_millis(1), ..breaker_after(1) };
+    let short = BreakerSettings { initial_open: Duration::from_millis(1), ..breaker_after(1) };
     let fixture = StoreFixture::with_settings(|settings| {
         settings.with_breaker(short).with_backoff(no_retry())
     });
--- a/crates/coltsfoot-standin/src/table/table_service.rs
+++ b/crates/coltsfoot-standin/src/table/table_service.rs
@@ -143,7 +143,7 @@
             return Ok(verdict);
         }
         let bucket = if is_write { &mut self.writes } else { &mut self.reads };
-        if bucket.take(now, 0.0, Duration::ZERO).is_none() {
+        if bucket.acquire(now, 0.0, Duration::ZERO).is_none() {
             self.counts.refused_by_rate += 1;
             return Err(ServiceError::RateLimited);
         }
--- a/crates/coltsfootroute/examples/compare_quota.rs
+++ b/crates/coltsfootroute/examples/compare_quota.rs
@@ -145,7 +145,7 @@
 
 impl QuotaWay for EvenSplit {
     fn arrive(&mut self, world: &mut World, node: usize) -> Option<bool> {
-        Some(self.0[node].take_some(world.time(), 1) == 1)
+        Some(self.0[node].acquire_up_to(world.time(), 1) == 1)
     }
 
     fn tick(&mut self, _world: &mut World) -> Vec<bool> {
@@ -174,7 +174,7 @@
 impl QuotaWay for GossipedShares {
     fn arrive(&mut self, world: &mut World, node: usize) -> Option<bool> {
         self.counted[node] += 1.0;
-        Some(self.buckets[node].take_some(world.time(), 1) == 1)
+        Some(self.buckets[node].acquire_up_to(world.time(), 1) == 1)
     }
 
     fn tick(&mut self, world: &mut World) -> Vec<bool> {
@@ -206,7 +206,7 @@
             // Who has no demand yet keeps a little, for its first requests.
             let part = ((self.known[node][node] + 0.2) / (all + 0.2 * NODES as f64)).max(0.001);
             let (rate, burst) = (f64::from(limit.per_s) * part, f64::from(limit.burst) * part);
-            self.buckets[node].reshape(world.time(), rate, burst);
+            self.buckets[node].set_limits(world.time(), rate, burst);
         }
     }
 }
--- a/crates/coltsfootroute/src/quota/credit_ledger.rs
+++ b/crates/coltsfootroute/src/quota/credit_ledger.rs
@@ -112,7 +112,7 @@
         if self.limit != limit || is_over {
             self.limit = limit;
             self.slow_until = self.slow_until.filter(|_| !is_over);
-            self.bucket.reshape(now, self.rate(), limit.burst.into());
+            self.bucket.set_limits(now, self.rate(), limit.burst.into());
         }
         self.asked = now;
     }
@@ -136,9 +136,9 @@
         if !self.is_fresh {
             self.bucket.charge(now, question.used);
         }
-        let granted = self.bucket.take_some(now, question.wanted);
+        let granted = self.bucket.acquire_up_to(now, question.wanted);
         let wait = match granted {
-            0 => self.bucket.time_to_token(),
+            0 => self.bucket.time_until_token(),
             _ => Duration::ZERO,
         };
         let askers = u32::try_from(self.askers.len()).unwrap_or(u32::MAX).max(1);
--- a/crates/coltsfootroute/src/table/circuit_breaker.rs
+++ b/crates/coltsfootroute/src/table/circuit_breaker.rs
@@ -13,9 +13,9 @@
         /// Failures in a row that open it; at least 1.
         pub failures_to_open: u32,
         /// First time it stays open; doubled with each failed probe.
-        pub shortest_open: Duration,
+        pub initial_open: Duration,
         /// Longest time it stays open.
-        pub longest_open: Duration,
+        pub max_open: Duration,
         /// A probe without a result for this long is taken to have failed.
         pub probe_timeout: Duration,
     }
@@ -25,8 +25,8 @@
     fn default() -> Self {
         Self {
             failures_to_open: 5,
-            shortest_open: Duration::from_millis(200),
-            longest_open: Duration::from_secs(5),
+            initial_open: Duration::from_millis(200),
+            max_open: Duration::from_secs(5),
             probe_timeout: Duration::from_secs(2),
         }
     }
@@ -57,7 +57,7 @@
 impl CircuitBreaker {
     /// A closed breaker.
     pub fn new(settings: BreakerSettings) -> Self {
-        let next_open = settings.shortest_open;
+        let next_open = settings.initial_open;
         Self { settings, state: BreakerState::Closed(0), next_open }
     }
 
@@ -90,7 +90,7 @@
     pub fn record(&mut self, now: MonotonicTime, health: StoreHealth, rng: &mut impl Rng) {
         if health == StoreHealth::Answering {
             self.state = BreakerState::Closed(0);
-            self.next_open = self.settings.shortest_open;
+            self.next_open = self.settings.initial_open;
             return;
         }
         match self.state {
@@ -106,6 +106,6 @@
     fn open(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         let jittered = self.next_open.mul_f64(rng.random_range(0.5..=1.0));
         self.state = BreakerState::Open(now + jittered);
-        self.next_open = (self.next_open * 2).min(self.settings.longest_open);
+        self.next_open = (self.next_open * 2).min(self.settings.max_open);
     }
 }
--- a/crates/coltsfootroute/src/table/memory_table.rs
+++ b/crates/coltsfootroute/src/table/memory_table.rs
@@ -48,7 +48,8 @@
     }
 
     fn transact(&mut self, writes: &[RowWrite]) -> TableReply {
-        let failed: Vec<&RowWrite> = writes.iter().filter(|write| !self.holds(write)).collect();
+        let failed: Vec<&RowWrite> =
+            writes.iter().filter(|write| !self.condition_holds(write)).collect();
         if !failed.is_empty() {
             let mut keys: Vec<&RowKey> = failed.iter().map(|write| &write.key).collect();
             keys.sort();
@@ -63,7 +64,7 @@
         TableReply::Committed
     }
 
-    fn holds(&self, write: &RowWrite) -> bool {
+    fn condition_holds(&self, write: &RowWrite) -> bool {
         let version = self.rows.get(write.key.as_str()).map(|row| row.version);
         match write.condition {
             RowCondition::Absent => version.is_none(),
--- a/crates/coltsfootroute/src/table/rate_budget.rs
+++ b/crates/coltsfootroute/src/table/rate_budget.rs
@@ -44,11 +44,11 @@
 }
 
 /// Requests for configuration that a node may always send at once.
-const CONFIG_BURST: f64 = 4.0;
+const CONFIG_BURST_TOKENS: f64 = 4.0;
 /// Requests for configuration that it may always send in a second.
-const CONFIG_RATE: f64 = 1.0;
+const CONFIG_TOKENS_PER_S: f64 = 1.0;
 /// Part of the burst that is kept for claims.
-const CLAIM_RESERVE: f64 = 0.5;
+const CLAIM_RESERVE_SHARE: f64 = 0.5;
 
 impl RateBudget {
     /// The budget of one of the nodes that share `share`.
@@ -62,18 +62,18 @@
     }
 
     /// Takes one request from the budget. Gives the time to wait before it may be sent, or `None`,
-    /// taking nothing, where that is longer than `longest_wait`.
-    pub fn take(
+    /// taking nothing, where that is longer than `max_wait`.
+    pub fn acquire(
         &mut self,
         now: MonotonicTime,
         request: &TableRequest,
         store_use: StoreUse,
-        longest_wait: Duration,
+        max_wait: Duration,
     ) -> Option<Duration> {
         let is_write = request.is_write();
         let config = if is_write { &mut self.config_writes } else { &mut self.config_reads };
         if let Some(bucket) = config.as_mut().filter(|_| store_use == StoreUse::Config) {
-            return bucket.take(now, 0.0, longest_wait);
+            return bucket.acquire(now, 0.0, max_wait);
         }
         let (bucket, reserve) = if is_write {
             (&mut self.writes, self.write_reserve)
@@ -81,19 +81,19 @@
             (&mut self.reads, self.read_reserve)
         };
         let reserve = if store_use.is_urgent() { 0.0 } else { reserve };
-        bucket.take(now, reserve, longest_wait)
+        bucket.acquire(now, reserve, max_wait)
     }
 }
 
 fn bucket(rate: f64, burst_s: f64) -> (TokenBucket, f64) {
     let burst = (rate * burst_s).max(1.0);
     // A burst of one token leaves nothing to reserve: the rest would never be served.
-    let reserve = ((burst - 1.0) * CLAIM_RESERVE).max(0.0);
+    let reserve = ((burst - 1.0) * CLAIM_RESERVE_SHARE).max(0.0);
     (TokenBucket::new(rate, burst), reserve)
 }
 
 /// A bucket of its own for configuration, unless the share holds as much.
 fn config_bucket(rate: f64, burst_s: f64) -> Option<TokenBucket> {
-    (rate * burst_s < CONFIG_BURST && rate < CONFIG_RATE)
-        .then(|| TokenBucket::new(CONFIG_RATE, CONFIG_BURST))
+    (rate * burst_s < CONFIG_BURST_TOKENS && rate < CONFIG_TOKENS_PER_S)
+        .then(|| TokenBucket::new(CONFIG_TOKENS_PER_S, CONFIG_BURST_TOKENS))
 }
--- a/crates/coltsfootroute/src/table/store_backoff.rs
+++ b/crates/coltsfootroute/src/table/store_backoff.rs
@@ -11,20 +11,20 @@
     /// state machine that issued it knows how to read back its effect.
     pub struct StoreBackoff {
         /// Times a request is sent at the most; at least 1.
-        pub attempts: u32,
+        pub max_attempts: u32,
         /// Longest pause before the second attempt; doubled with each further one.
-        pub first_pause: Duration,
+        pub initial_pause: Duration,
         /// Longest pause at all.
-        pub longest_pause: Duration,
+        pub max_pause: Duration,
     }
 }
 
 impl Default for StoreBackoff {
     fn default() -> Self {
         Self {
-            attempts: 3,
-            first_pause: Duration::from_millis(20),
-            longest_pause: Duration::from_millis(500),
+            max_attempts: 3,
+            initial_pause: Duration::from_millis(20),
+            max_pause: Duration::from_millis(500),
         }
     }
 }
@@ -39,12 +39,12 @@
         attempt: u32,
         rng: &mut impl Rng,
     ) -> Option<Duration> {
-        if attempt >= self.attempts || !is_safe(request, reply) {
+        if attempt >= self.max_attempts || !is_safe(request, reply) {
             return None;
         }
         let doublings = (attempt - 1).min(16);
-        let longest = (self.first_pause * (1 << doublings)).min(self.longest_pause);
-        Some(longest.mul_f64(rng.random_range(0.0..=1.0)))
+        let max_pause = (self.initial_pause * (1 << doublings)).min(self.max_pause);
+        Some(max_pause.mul_f64(rng.random_range(0.0..=1.0)))
     }
 }
 
--- a/crates/coltsfootroute/tests/integration/store_policy.rs
+++ b/crates/coltsfootroute/tests/integration/store_policy.rs
@@ -35,8 +35,8 @@
 fn breaker() -> CircuitBreaker {
     CircuitBreaker::new(BreakerSettings {
         failures_to_open: 2,
-        shortest_open: Duration::from_millis(100),
-        longest_open: Duration::from_millis(200),
+        initial_open: Duration::from_millis(100),
+        max_open: Duration::from_millis(200),
         probe_timeout: PROBE_TIMEOUT,
     })
 }
@@ -104,7 +104,7 @@
     let mut count = |request: &TableRequest| {
         (0..10_000)
             .filter(|millis| {
-                budget.take(at(*millis), request, StoreUse::Claim, Duration::ZERO).is_some()
+                budget.acquire(at(*millis), request, StoreUse::Claim, Duration::ZERO).is_some()
             })
             .count() as f64
     };
@@ -122,7 +122,7 @@
     let share = RateShare { writes_per_s: 10.0, nodes: 1, burst_s: 1.0, ..RateShare::default() };
     let mut budget = RateBudget::new(&share);
     let mut drain = |store_use| {
-        std::iter::from_fn(|| budget.take(at(0), &write(), store_use, Duration::ZERO)).count()
+        std::iter::from_fn(|| budget.acquire(at(0), &write(), store_use, Duration::ZERO)).count()
     };
 
     assert_eq!(drain(StoreUse::Config), 5);
@@ -137,7 +137,7 @@
     let share = RateShare { nodes, ..RateShare::default() };
     let mut budget = RateBudget::new(&share);
     let mut take = |millis, request: &TableRequest, store_use| {
-        budget.take(at(millis), request, store_use, Duration::ZERO).is_some()
+        budget.acquire(at(millis), request, store_use, Duration::ZERO).is_some()
     };
 
     for submission in 0..3 {
@@ -158,7 +158,7 @@
     let mut budget = RateBudget::new(&share);
     let mut take = |wait: u64| {
         let longest = Duration::from_millis(wait);
-        budget.take(at(0), &write(), StoreUse::Claim, longest)
+        budget.acquire(at(0), &write(), StoreUse::Claim, longest)
     };
 
     assert_eq!(take(0), Some(Duration::ZERO));
@@ -181,5 +181,5 @@
     let backoff = StoreBackoff::default();
 
     assert_eq!(backoff.pause(&request, &reply, 1, &mut rng()).is_some(), is_sent);
-    assert_eq!(backoff.pause(&request, &reply, backoff.attempts, &mut rng()), None);
+    assert_eq!(backoff.pause(&request, &reply, backoff.max_attempts, &mut rng()), None);
 }
--- a/crates/coltsfootroute/tests/integration/suspension.rs
+++ b/crates/coltsfootroute/tests/integration/suspension.rs
@@ -37,7 +37,7 @@
     let mut bucket = TokenBucket::new(2.0, 3.0);
     let waking = START + Duration::from_secs(60);
 
-    let taken = (0..100).filter(|_| bucket.take(waking, 0.0, Duration::ZERO).is_some()).count();
+    let taken = (0..100).filter(|_| bucket.acquire(waking, 0.0, Duration::ZERO).is_some()).count();
 
     assert_eq!(taken, 3);
 }
