--- a/crates/coltsfootroute/src/routing.rs
+++ b/crates/coltsfootroute/src/routing.rs
@@ -1,7 +1,7 @@
 //! Choice of the upstream for a call.
 //!
-//! One [`UpstreamPool`] per called service. A caller decides by what it sees itself: its calls in
-//! flight, their latency and their results. Load is neither gossiped nor probed for.
+//! There is one [`UpstreamPool`] per called service. A caller decides only by what it observes itself: its calls
+//! in flight, their latency and their results. Load is neither gossiped nor probed.
 
 mod in_flight_share;
 mod latency_average;
--- a/crates/coltsfootroute/src/routing/latency_average.rs
+++ b/crates/coltsfootroute/src/routing/latency_average.rs
@@ -4,32 +4,32 @@
 
 use crate::time::MonotonicTime;
 
-/// Exponentially weighted average over time that rises at once with a slow call and falls slowly.
+/// Time-based exponentially weighted moving average of latency.
 ///
-/// Without new samples it decays towards a baseline, so that an upstream which was slow once and is
-/// no longer chosen gets tried again.
+/// Without new samples it decays towards a baseline, so that an upstream that was slow and is therefore no longer
+/// chosen is tried again.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LatencyAverage {
-    /// Microseconds; meaningless while `samples` is 0.
+    /// Average in microseconds; meaningless while `samples` is 0.
     micros: f64,
     updated_at: MonotonicTime,
     samples: u64,
 }
 
 impl LatencyAverage {
-    /// Samples taken since the upstream's life began.
+    /// Returns the number of samples in this incarnation of the upstream, or since it returned from an ejection.
     pub(super) fn samples(&self) -> u64 {
         self.samples
     }
 
-    /// Takes in the latency of a call that succeeded.
+    /// Records the latency of a successful call.
     pub(super) fn record(&mut self, now: MonotonicTime, latency: Duration, window: Duration) {
         let sample = latency.as_micros() as f64;
         if self.samples == 0 {
             self.micros = sample;
         } else {
             let retained = retained_weight(now.since(self.updated_at), window);
-            // A call every few microseconds still has to count for something.
+            // Samples that are only microseconds apart would otherwise have almost no weight.
             let retained = retained.min(MAX_RETAINED_WEIGHT);
             self.micros = self.micros * retained + sample * (1.0 - retained);
         }
@@ -37,7 +37,8 @@
         self.updated_at = now;
     }
 
-    /// Takes in a call that failed after `latency`: a fast failure must not look like a fast upstream.
+    /// Records a call that failed after `latency`, or the current average if that is higher: a fast failure must
+    /// not make the upstream look fast.
     pub(super) fn record_failure(
         &mut self,
         now: MonotonicTime,
@@ -48,7 +49,8 @@
         self.record(now, latency.max(floor), window);
     }
 
-    /// Takes in a call that was given up after `latency`: it would have taken at least as long.
+    /// Records a call that was cancelled after `latency`, which is a lower bound of its real latency. Ignored before
+    /// the first sample and unless it raises the average.
     pub(super) fn record_at_least(
         &mut self,
         now: MonotonicTime,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// The average in microseconds, or `baseline` where there is no sample yet.
+    /// Returns the average in microseconds, decayed towards `baseline`; `baseline` before the first sample.
     pub(super) fn micros(&self, now: MonotonicTime, window: Duration, baseline: f64) -> f64 {
         if self.samples == 0 {
             return baseline;
@@ -72,13 +74,13 @@
         baseline + (self.micros - baseline) * retained
     }
 
-    /// The average as it stands, without decay; `None` before the first sample.
+    /// Returns the average in microseconds without decay; `None` before the first sample.
     pub(super) fn observed(&self) -> Option<f64> {
         (self.samples > 0).then_some(self.micros)
     }
 }
 
-/// Most of the old average that one sample leaves.
+/// Largest weight, 0 to 1, that the old average keeps when a sample is added.
 const MAX_RETAINED_WEIGHT: f64 = 0.95;
 
 fn retained_weight(elapsed: Duration, window: Duration) -> f64 {
--- a/crates/coltsfootroute/src/routing/pool_status.rs
+++ b/crates/coltsfootroute/src/routing/pool_status.rs
@@ -10,17 +10,17 @@
     pub struct UpstreamStatus {
         /// Node beside the upstream.
         pub node: NodeId,
-        /// Life of the node.
+        /// Incarnation of the node.
         pub incarnation: Incarnation,
-        /// Nearness to this caller.
+        /// Distance from this caller.
         pub tier: UpstreamTier,
         /// Phase in the pool.
         pub phase: UpstreamPhase,
         /// This caller's calls in flight.
         pub in_flight: u32,
-        /// Most calls that this caller keeps in flight.
+        /// Maximum number of calls that this caller keeps in flight.
         pub share: InFlightShare,
-        /// Latency average; `None` before the first sample.
+        /// Moving average of the latency; `None` before the first sample.
         pub latency: Option<Duration>,
         /// Weight in percent.
         pub weight_percent: u32,
@@ -28,15 +28,15 @@
 }
 
 record_type! {
-    /// Status of a pool, upstreams in order of their node.
+    /// Status of a pool.
     pub struct PoolStatus {
-        /// Upstreams, leaving ones included.
+        /// Upstreams in order of their nodes, leaving ones included.
         pub upstreams: Vec<UpstreamStatus>,
-        /// Calls chosen in the own failure domain since the pool was made.
+        /// Choices of an upstream in the own failure domain since the pool was created.
         pub chosen_near: u64,
-        /// Calls chosen outside the own failure domain since the pool was made.
+        /// Choices of an upstream outside the own failure domain since the pool was created.
         pub chosen_far: u64,
-        /// Ejections since the pool was made.
+        /// Ejections since the pool was created.
         pub ejections: u64,
     }
 }
--- a/crates/coltsfootroute/src/routing/route_result.rs
+++ b/crates/coltsfootroute/src/routing/route_result.rs
@@ -1,21 +1,22 @@
-//! How a routed call ended, as the caller saw it.
+//! Result of a routed call, as observed by the caller.
 
 value_type! {
     /// Result of a call to an upstream.
     pub enum RouteResult {
-        /// A complete answer came.
+        /// A complete answer was received.
         Succeeded,
-        /// The upstream answered with a failure, cut its answer off or let the deadline pass.
+        /// The upstream answered with a failure, broke off its answer or exceeded the deadline.
         Failed,
-        /// The upstream failed the call because a nested call of it was not served; says nothing of itself.
+        /// The upstream failed the call because a nested call was not served. Says nothing about the upstream's
+        /// own health.
         FailedBelow,
-        /// The guard refused the call for lack of room.
+        /// The guard refused the call for lack of capacity.
         Refused,
-        /// The node or the upstream behind it said that it is leaving.
+        /// The node or its upstream refused the call because it is leaving.
         Leaving,
-        /// No connection to the node.
+        /// No connection to the node could be established.
         Unreachable,
-        /// This caller gave the call up; says nothing of the upstream.
+        /// This caller cancelled the call. Says nothing about the upstream's health.
         Cancelled,
     }
 }
--- a/crates/coltsfootroute/src/routing/upstream_health.rs
+++ b/crates/coltsfootroute/src/routing/upstream_health.rs
@@ -1,13 +1,13 @@
-//! Ejection and trial of an upstream.
+//! Failure count, ejection and trials of an upstream.
 
 use std::time::Duration;
 
 use super::RoutingSettings;
 use crate::time::MonotonicTime;
 
-/// Whether an upstream takes calls, as far as its failures go.
+/// Failure and ejection state of an upstream.
 ///
-/// Invariant: `trials_passed` is only set while `ejected_until` is.
+/// Invariant: `trials_passed` is above 0 only while `ejected_until` is set.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UpstreamHealth {
     failures_in_row: u32,
@@ -17,22 +17,22 @@
 }
 
 impl UpstreamHealth {
-    /// Whether it is ejected, trials included.
+    /// Returns whether the upstream is ejected; an upstream on trial still is.
     pub(super) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// Whether its ejection is over, so that trial calls decide on its return.
+    /// Returns whether the ejection time is over, so that trial calls decide whether the upstream returns.
     pub(super) fn is_on_trial(&self, now: MonotonicTime) -> bool {
         self.ejected_until.is_some_and(|until| until <= now)
     }
 
-    /// Failures since the last success.
+    /// Returns the number of failures since the last success.
     pub(super) fn failures_in_row(&self) -> u32 {
         self.failures_in_row
     }
 
-    /// Counts a success; returns whether the upstream returns from its ejection.
+    /// Records a success and returns whether it ends the ejection.
     pub(super) fn succeeded(&mut self, now: MonotonicTime, settings: &RoutingSettings) -> bool {
         self.failures_in_row = 0;
         if !self.is_on_trial(now) {
@@ -46,7 +46,7 @@
         true
     }
 
-    /// Counts a failure; a failed trial ejects again, for longer.
+    /// Records a failure. A failed trial ejects the upstream again, for longer up to the limit.
     pub(super) fn failed(&mut self, now: MonotonicTime, settings: &RoutingSettings) {
         self.failures_in_row = self.failures_in_row.saturating_add(1);
         if self.is_on_trial(now) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Ejects the upstream from now on.
+    /// Ejects the upstream from `now` on.
     pub(super) fn eject(&mut self, now: MonotonicTime, settings: &RoutingSettings) {
         self.ejected_until = Some(now + self.next_ejection(settings));
         self.ejections_in_row = self.ejections_in_row.saturating_add(1);
@@ -67,5 +67,5 @@
     }
 }
 
-/// Keeps the factor of an ejection within 32 bits.
+/// Maximum number of times that the ejection time is doubled; keeps the factor within 32 bits.
 const MAX_DOUBLINGS: u32 = 16;
--- a/crates/coltsfootroute/src/routing/upstream_info.rs
+++ b/crates/coltsfootroute/src/routing/upstream_info.rs
@@ -1,4 +1,4 @@
-//! What membership knows of an upstream.
+//! Information about an upstream from membership.
 
 use crate::{
     id::{Incarnation, NodeId},
@@ -10,17 +10,17 @@
     pub struct UpstreamInfo {
         /// Node beside the upstream.
         pub node: NodeId,
-        /// Life of the node.
+        /// Incarnation of the node.
         pub incarnation: Incarnation,
         /// Failure domain of the host.
         pub domain: DomainName,
         /// Region of the host.
         pub region: RegionName,
-        /// Calls that the upstream can work on at a time.
+        /// Number of calls that the upstream can process concurrently.
         pub slots: u32,
-        /// Connections that the upstream takes.
+        /// Number of connections that the upstream accepts.
         pub connections: u32,
-        /// Whether it has announced its leave; never undone within a life.
+        /// Whether it has announced that it is leaving; never undone within an incarnation.
         pub leaving: bool,
         /// Whether membership suspects that it has failed.
         pub suspect: bool,
--- a/crates/coltsfootroute/src/routing/upstream_phase.rs
+++ b/crates/coltsfootroute/src/routing/upstream_phase.rs
@@ -1,25 +1,25 @@
 //! Phase of an upstream in a pool.
 
 value_type! {
-    /// What a pool thinks of an upstream.
+    /// Phase of an upstream, which decides whether and how it receives calls.
     pub enum UpstreamPhase {
-        /// Takes calls at full weight.
+        /// Receives calls at full weight.
         Serving,
-        /// Takes calls at a weight that ramps up after a cold start or a return.
+        /// Receives calls at a weight that ramps up after a cold start or a return from ejection.
         Warming,
-        /// Membership suspects it: takes calls only where nothing else can.
+        /// Suspected by membership: receives calls only if no other upstream accepts them.
         Suspect,
-        /// Failed or slow: takes no calls for now.
+        /// Failed or was slow: receives no calls until the ejection is over.
         Ejected,
-        /// Ejection is over: takes one trial call at a time.
+        /// The ejection is over: receives one trial call at a time.
         Trial,
-        /// Takes no new calls in this life: it is leaving, or membership no longer names it.
+        /// Leaving, or no longer listed by membership: no ordinary choice in this incarnation.
         Leaving,
     }
 }
 
 impl UpstreamPhase {
-    /// The phase's name in logs and metric labels.
+    /// Returns the phase's name in logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Serving => "serving",
--- a/crates/coltsfootroute/src/routing/upstream_pool.rs
+++ b/crates/coltsfootroute/src/routing/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one called service.
+//! Pool of the upstreams of one called service.
 
 mod choosing;
 mod ejecting;
@@ -17,24 +17,27 @@
     time::MonotonicTime,
 };
 
-/// Latency that the first upstream of a pool is taken to have: 10 ms.
+/// Latency that is assumed until the median of a pool is known, in microseconds.
 const INITIAL_BASELINE_MICROS: f64 = 10_000.0;
 
-/// The upstreams of one called service, as one caller sees them.
+/// The upstreams of one called service, as observed by one caller.
 ///
-/// Invariants: an upstream that is leaving is never chosen again in that life; no upstream has more
-/// calls in flight than its share, as long as each choice is followed by [`UpstreamPool::started`]
-/// and the share does not shrink; no ejection brings more than [`RoutingSettings::max_ejected`] of
-/// the live upstreams out of use, and where all are ejected they are used all the same.
+/// Invariants:
+///
+/// - [`UpstreamPool::choose`] never chooses a leaving upstream again in the same incarnation.
+/// - No upstream has more calls in flight than its share, provided that each choice is followed by
+///   [`UpstreamPool::started`] and the share does not shrink.
+/// - An ejection never brings the number of ejected live upstreams above [`RoutingSettings::max_ejected`]. If all
+///   live upstreams are ejected, they are used nevertheless.
 #[derive(Clone, Debug)]
 pub struct UpstreamPool {
     own_domain: DomainName,
     own_region: RegionName,
     settings: RoutingSettings,
     records: IndexMap<NodeId, UpstreamRecord>,
-    /// Positions in `records` of the upstreams that are not leaving, by tier.
+    /// Positions in `records` of the live upstreams, by tier.
     tiers: [Vec<usize>; UpstreamTier::COUNT],
-    /// Median of the upstreams' latency averages, microseconds; what an unknown one is taken to have.
+    /// Median of the upstreams' latency averages in microseconds; assumed for an upstream without samples.
     baseline: f64,
     calls_since_baseline: usize,
     chosen_near: u64,
@@ -43,7 +46,7 @@
 }
 
 impl UpstreamPool {
-    /// An empty pool for a caller in `own_domain` of `own_region`.
+    /// Creates an empty pool for a caller in `own_domain` of `own_region`.
     pub fn new(own_domain: DomainName, own_region: RegionName, settings: RoutingSettings) -> Self {
         Self {
             own_domain,
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Replaces the set of upstreams by what membership knows now.
+    /// Replaces the set of upstreams with the one that membership reports.
     pub fn update(
         &mut self,
         now: MonotonicTime,
@@ -82,7 +85,7 @@
         self.rebuild_tiers();
     }
 
-    /// Sets the number of nodes that call the service, which divides its connections.
+    /// Sets the number of nodes that call the service, between which its connections are divided.
     pub fn set_callers(&mut self, callers: u32) {
         self.settings.callers = callers.max(1);
         for record in self.records.values_mut() {
@@ -90,14 +93,14 @@
         }
     }
 
-    /// Counts a call that starts.
+    /// Records the start of a call.
     pub fn started(&mut self, _now: MonotonicTime, node: NodeId) {
         if let Some(record) = self.records.get_mut(&node) {
             record.started();
         }
     }
 
-    /// Counts a call that ended after `latency`; call it once for each [`UpstreamPool::started`].
+    /// Records the end of a call after `latency`. Must be called once for each [`UpstreamPool::started`].
     pub fn finished(
         &mut self,
         now: MonotonicTime,
@@ -130,12 +133,12 @@
         }
     }
 
-    /// Whether every upstream is unknown or leaving.
+    /// Returns whether the pool has no live upstream.
     pub fn is_empty(&self) -> bool {
         self.tiers.iter().all(Vec::is_empty)
     }
 
-    /// Status for operators.
+    /// Returns the pool's status for operators.
     pub fn status(&self, now: MonotonicTime) -> PoolStatus {
         let mut upstreams: Vec<_> =
             self.records.values().map(|record| self.status_of(now, record)).collect();
--- a/crates/coltsfootroute/src/routing/upstream_pool/choosing.rs
+++ b/crates/coltsfootroute/src/routing/upstream_pool/choosing.rs
@@ -1,4 +1,4 @@
-//! Choosing the upstream for a call.
+//! Choice of the upstream for a call.
 
 use std::time::Duration;
 
@@ -13,17 +13,18 @@
     time::MonotonicTime,
 };
 
-/// How many times its usual latency a call's time has to hold for one more of preference: latencies spread, and one in
-/// a hundred calls takes some four times the mean.
+/// Multiple of the nearer upstream's latency that must fit into a call's remaining time for each unit of preference.
+/// One call in a hundred takes about four times the mean latency.
 const LATENCIES_PER_PREFERENCE: f64 = 4.0;
-/// How long an upstream that leaves is asked where no other takes a call. Longer than a node guards on while
-/// it stops, and so short that those that have gone are not asked for long.
+/// Longest time for which a leaving upstream is tried when no other upstream accepts calls. Longer than a stopping
+/// node keeps guarding its upstream, but short enough that nodes that are gone are soon no longer tried.
 const MAX_DEPARTING_TIME: Duration = Duration::from_secs(4);
-/// Draws at random before a scan: a scan favours the upstream after one that takes no calls.
+/// Maximum number of random draws before a linear scan, which favours the upstreams that follow one that accepts no
+/// calls.
 const MAX_RANDOM_DRAWS: usize = 4;
 
 impl UpstreamPool {
-    /// Chooses an upstream that is not in `exclude`; `None` where none takes a call now.
+    /// Chooses an upstream that is not in `exclude`; `None` if none accepts a call now.
     ///
     /// Pass the upstreams that earlier attempts of this call went to as `exclude`.
     pub fn choose(
@@ -35,9 +36,9 @@
         self.choose_admitted(now, rng, exclude, Duration::ZERO, |_| 1.0)
     }
 
-    /// Chooses like [`UpstreamPool::choose`], but takes a guard that admits more of the call's importance
-    /// before one that costs less. `admitted` gives the share that a guard admits, 0 to 1, as this caller
-    /// last heard it. The more of `time_left` the call can spare, the more the own failure domain is preferred.
+    /// Chooses like [`UpstreamPool::choose`], but prefers a guard that admits more calls of this importance to one
+    /// with a lower cost. `admitted` returns the share that a guard admits, 0 to 1, as last reported to this caller.
+    /// The longer `time_left` is compared with the expected latency, the more the own failure domain is preferred.
     pub fn choose_admitted(
         &mut self,
         now: MonotonicTime,
@@ -55,8 +56,10 @@
         Some(*node)
     }
 
-    /// An upstream that leaves, not in `exclude`, where no other takes a call: a node that is to stop may
-    /// guard its upstream for a moment longer, and says so itself if it does not.
+    /// Chooses the leaving upstream with the fewest calls in flight that is not in `exclude`; `None` if there is none.
+    ///
+    /// Meant for calls that no other upstream accepts: a node that is stopping may still guard its upstream for a
+    /// short time, and refuses the call itself if it does not.
     pub fn choose_departing(&self, now: MonotonicTime, exclude: &[NodeId]) -> Option<NodeId> {
         let departing = |record: &&UpstreamRecord| {
             !exclude.contains(&record.info.node) && record.is_departing(now, MAX_DEPARTING_TIME)
@@ -65,18 +68,19 @@
         fewest.map(|record| record.info.node)
     }
 
-    /// The one of `among` that costs least and takes a call now.
+    /// Returns the upstream of `among` with the lowest cost that accepts a call now; `None` if none does.
     pub fn choose_among(&self, now: MonotonicTime, among: &[NodeId]) -> Option<NodeId> {
-        let takes = among
+        let accepting = among
             .iter()
             .filter_map(|node| self.records.get(node))
             .filter(|record| record.accepts_calls(now));
         let cost = |record: &UpstreamRecord| record.cost(now, self.baseline, &self.settings);
-        let cheapest = takes.min_by(|one, other| cost(one).total_cmp(&cost(other)));
+        let cheapest = accepting.min_by(|one, other| cost(one).total_cmp(&cost(other)));
         cheapest.map(|record| record.info.node)
     }
 
-    /// Trusted upstreams first, then suspects and trials; ejected ones only where all are ejected.
+    /// Chooses among trusted upstreams first, then among suspects and trials. Uses ejected upstreams only if all live
+    /// upstreams are ejected. `None` if none accepts a call.
     fn choose_position(
         &self,
         now: MonotonicTime,
@@ -85,7 +89,7 @@
         time_left: Duration,
         admitted: impl Fn(NodeId) -> f64,
     ) -> Option<usize> {
-        // A first attempt can still be retried, so it is the one to try an ejected upstream.
+        // Only first attempts are used as trials of ejected upstreams, because they can still be retried.
         let may_start_trial = exclude.is_empty();
         let trusted = |record: &UpstreamRecord| {
             let ready = !record.health.is_ejected() || may_start_trial;
@@ -106,7 +110,7 @@
         self.choose_where(now, rng, exclude, time_left, &admitted, UpstreamRecord::has_capacity)
     }
 
-    /// The best of two upstreams of each tier that `takes` a call, nearer tiers preferred.
+    /// Draws two upstreams of each tier for which `accepts` holds and returns the best of all, nearer tiers preferred.
     fn choose_where(
         &self,
         now: MonotonicTime,
@@ -114,13 +118,14 @@
         exclude: &[NodeId],
         time_left: Duration,
         admitted: impl Fn(NodeId) -> f64,
-        takes: impl Fn(&UpstreamRecord) -> bool,
+        accepts: impl Fn(&UpstreamRecord) -> bool,
     ) -> Option<usize> {
-        let takes = |record: &UpstreamRecord| !exclude.contains(&record.info.node) && takes(record);
+        let accepts =
+            |record: &UpstreamRecord| !exclude.contains(&record.info.node) && accepts(record);
         let mut best: Option<UpstreamCandidate> = None;
         for (index, tier) in self.tiers.iter().enumerate() {
             let mut nearest: Option<UpstreamCandidate> = None;
-            for position in self.draw_two(tier, rng, &takes).into_iter().flatten() {
+            for position in self.draw_two(tier, rng, &accepts).into_iter().flatten() {
                 let record = &self.records[position];
                 if record.may_start_trial(now) {
                     return Some(position);
@@ -142,48 +147,48 @@
         best.map(|candidate| candidate.position)
     }
 
-    /// Up to two different upstreams of `tier` that take a call, drawn at random.
+    /// Draws up to two different upstreams of `tier` at random for which `accepts` holds.
     fn draw_two(
         &self,
         tier: &[usize],
         rng: &mut impl Rng,
-        takes: &impl Fn(&UpstreamRecord) -> bool,
+        accepts: &impl Fn(&UpstreamRecord) -> bool,
     ) -> [Option<usize>; 2] {
-        let first = self.draw(tier, rng, |record| takes(record));
+        let first = self.draw(tier, rng, |record| accepts(record));
         let Some(position) = first else { return [None, None] };
         if tier.len() == 1 {
             return [first, None];
         }
         let second = self.draw(tier, rng, |record| {
-            record.info.node != self.records[position].info.node && takes(record)
+            record.info.node != self.records[position].info.node && accepts(record)
         });
         [first, second]
     }
 
-    /// An upstream of `tier` that `takes` a call, drawn at random. Where most do not, the first one
-    /// from a random place onwards.
+    /// Draws an upstream of `tier` at random for which `accepts` holds. After [`MAX_RANDOM_DRAWS`] failed draws,
+    /// returns the first such upstream from a random position onwards.
     fn draw(
         &self,
         tier: &[usize],
         rng: &mut impl Rng,
-        takes: impl Fn(&UpstreamRecord) -> bool,
+        accepts: impl Fn(&UpstreamRecord) -> bool,
     ) -> Option<usize> {
         if tier.is_empty() {
             return None;
         }
         for _ in 0..MAX_RANDOM_DRAWS {
             let position = tier[rng.random_range(0..tier.len())];
-            if takes(&self.records[position]) {
+            if accepts(&self.records[position]) {
                 return Some(position);
             }
         }
         let start = rng.random_range(0..tier.len());
         let order = tier[start..].iter().chain(&tier[..start]);
-        order.copied().find(|&position| takes(&self.records[position]))
+        order.copied().find(|&position| accepts(&self.records[position]))
     }
 
-    /// Factor on the cost of an upstream of the tier at `index`, for a call with `time_left` that could go to
-    /// `nearer`.
+    /// Returns the factor on the cost of an upstream of the tier at `index`, for a call with `time_left` whose best
+    /// candidate from nearer tiers is `nearer`.
     fn cost_factor(
         &self,
         now: MonotonicTime,
@@ -201,7 +206,8 @@
         domain * f64::from(self.settings.region_preference_percent) / 100.0
     }
 
-    /// How many times worse `nearer` may look: the more, the more often the call's time would do for it.
+    /// Returns the factor by which the cost of `nearer` may exceed that of an upstream outside the own failure domain.
+    /// It grows with the number of times that the latency of `nearer` fits into `time_left`.
     fn domain_preference(
         &self,
         now: MonotonicTime,
@@ -209,12 +215,12 @@
         time_left: Duration,
     ) -> f64 {
         let settings = &self.settings;
-        let least = f64::from(settings.domain_preference_percent) / 100.0;
-        let most = f64::from(settings.max_domain_preference_percent) / 100.0;
-        let Some(nearer) = nearer else { return least };
+        let min = f64::from(settings.domain_preference_percent) / 100.0;
+        let max = f64::from(settings.max_domain_preference_percent) / 100.0;
+        let Some(nearer) = nearer else { return min };
         let record = &self.records[nearer.position];
         let latency = record.latency.micros(now, settings.latency_window, self.baseline).max(1.0);
         let times = time_left.as_micros() as f64 / latency;
-        (times / LATENCIES_PER_PREFERENCE).clamp(least, most)
+        (times / LATENCIES_PER_PREFERENCE).clamp(min, max)
     }
 }
--- a/crates/coltsfootroute/src/routing/upstream_pool/ejecting.rs
+++ b/crates/coltsfootroute/src/routing/upstream_pool/ejecting.rs
@@ -1,14 +1,14 @@
-//! Taking upstreams out of use that fail, or are slow for what is usual.
+//! Ejection of upstreams that fail or are much slower than the median.
 
 use super::UpstreamPool;
 use crate::{id::NodeId, routing::UpstreamTier, time::MonotonicTime};
 
-/// Least calls between two looks at the median.
+/// Minimum number of successful calls between two updates of the median.
 const MIN_CALLS_PER_BASELINE: usize = 16;
 
 impl UpstreamPool {
-    /// Takes the median over the upstreams' averages anew, once for as many calls as there are
-    /// upstreams, so that a call's cost does not grow with the pool.
+    /// Counts a successful call and recomputes the median of the upstreams' averages once per as many calls as there
+    /// are upstreams, so that the cost per call does not grow with the pool.
     pub(super) fn update_baseline(&mut self) {
         self.calls_since_baseline += 1;
         if self.calls_since_baseline < self.records.len().max(MIN_CALLS_PER_BASELINE) {
@@ -36,7 +36,7 @@
 
     pub(super) fn eject_if_slow(&mut self, now: MonotonicTime, node: NodeId) {
         let Some(record) = self.records.get(&node) else { return };
-        // Latency to another region is mostly the way there; the cost of a choice takes care of it.
+        // Latency to another region is mostly network latency, which the cost of a candidate already covers.
         if record.tier == UpstreamTier::OtherRegion
             || record.latency.samples() < self.settings.samples_to_eject
         {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Latency above which an upstream is slow, in microseconds.
+    /// Returns the latency above which an upstream counts as slow, in microseconds.
     pub(super) fn slow_limit(&self) -> f64 {
         self.baseline * f64::from(self.settings.slow_factor)
     }
--- a/crates/coltsfootroute/src/routing/upstream_record.rs
+++ b/crates/coltsfootroute/src/routing/upstream_record.rs
@@ -1,4 +1,4 @@
-//! What a pool keeps of one upstream.
+//! State that a pool keeps for one upstream.
 
 use std::time::Duration;
 
@@ -16,15 +16,15 @@
     pub(super) share: InFlightShare,
     pub(super) latency: LatencyAverage,
     pub(super) health: UpstreamHealth,
-    /// Whether membership names it; one that it no longer names stays only while calls are in flight.
+    /// Whether membership lists the upstream. One that is no longer listed is kept only while calls are in flight.
     pub(super) present: bool,
-    /// When it was first heard to leave.
+    /// Time at which membership first reported that it is leaving.
     leaving_since: Option<MonotonicTime>,
-    /// Whether it has itself refused a call as leaving.
+    /// Whether it has refused a call because it is leaving.
     has_refused_as_leaving: bool,
-    /// Calls started and not finished, to this life and earlier ones.
+    /// Unfinished calls, to this incarnation and earlier ones.
     pub(super) in_flight: u32,
-    /// Calls of `in_flight` that were started in an earlier life; their results say nothing of this one.
+    /// Calls of `in_flight` that were sent to an earlier incarnation; their results are ignored.
     stale_in_flight: u32,
     /// Share of refusals among recent results, 0 to 1.
     refused_share: f64,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes in newer knowledge from membership; older knowledge is ignored.
+    /// Applies an update from membership; an update about an older incarnation is ignored.
     pub(super) fn update(
         &mut self,
         now: MonotonicTime,
@@ -76,9 +76,9 @@
             self.stale_in_flight = in_flight;
             return;
         }
-        let left = self.info.leaving;
+        let was_leaving = self.info.leaving;
         self.info = info;
-        self.info.leaving |= left;
+        self.info.leaving |= was_leaving;
         if self.info.leaving {
             self.leaving_since.get_or_insert(now);
         }
@@ -86,41 +86,41 @@
         self.update_share(settings);
     }
 
-    /// Works out this caller's share anew.
+    /// Recomputes this caller's share of the connections.
     pub(super) fn update_share(&mut self, settings: &RoutingSettings) {
         let connections = self.info.connections;
         self.share = InFlightShare::new(connections, settings.callers, settings.min_share);
     }
 
-    /// Whether it belongs to the live part of the pool.
+    /// Returns whether membership lists the upstream and it is not leaving.
     pub(super) fn is_live(&self) -> bool {
         self.present && !self.info.leaving
     }
 
-    /// Whether it may still take calls although it leaves: it has not refused any as yet, and its leave is
-    /// `recent`.
+    /// Returns whether the upstream may still accept a call although it is leaving: the leave was reported less
+    /// than `recent` ago, it has refused no call because of it, and this caller's share is not used up.
     pub(super) fn is_departing(&self, now: MonotonicTime, recent: Duration) -> bool {
         let is_recent = self.leaving_since.is_some_and(|since| now.since(since) < recent);
         is_recent && !self.has_refused_as_leaving && self.in_flight < self.share.0
     }
 
-    /// Whether this caller's share has room for a call.
+    /// Returns whether the upstream is live and this caller's share is not used up.
     pub(super) fn has_capacity(&self) -> bool {
         self.is_live() && self.in_flight < self.share.0
     }
 
-    /// Whether a call may be sent, suspicion aside.
+    /// Returns whether a call may be sent, regardless of suspicion.
     pub(super) fn accepts_calls(&self, now: MonotonicTime) -> bool {
         self.has_capacity() && (!self.health.is_ejected() || self.may_start_trial(now))
     }
 
-    /// Whether a trial call may start: one at a time, and none before the calls that led to the
-    /// ejection have ended.
+    /// Returns whether a trial call may start: one at a time, and none before the calls that were in flight at the
+    /// ejection have finished.
     pub(super) fn may_start_trial(&self, now: MonotonicTime) -> bool {
         self.in_flight == 0 && self.health.is_on_trial(now)
     }
 
-    /// How bad a choice the upstream is: expected wait per slot, in microseconds.
+    /// Returns the expected wait per slot in microseconds; lower is better.
     pub(super) fn cost(
         &self,
         now: MonotonicTime,
@@ -128,7 +128,7 @@
         settings: &RoutingSettings,
     ) -> f64 {
         let slots = f64::from(self.info.slots.max(1));
-        // Fewer calls than this caller's part of the slots tell little of the upstream's load.
+        // Fewer calls in flight than this caller's part of the slots say little about the upstream's load.
         let part = (slots / f64::from(settings.callers.max(1))).clamp(1.0, MAX_SLOTS_PER_CALLER);
         let latency = self.latency.micros(now, settings.latency_window, baseline).max(1.0);
         let waiting = f64::from(self.in_flight) + part;
@@ -137,7 +137,7 @@
         latency * waiting / room * (1.0 + REFUSAL_COST_FACTOR * refusals)
     }
 
-    /// Weight from just above 0 to 1.
+    /// Returns the weight, which rises to 1 during the slow start; always above 0.
     pub(super) fn weight(&self, now: MonotonicTime, settings: &RoutingSettings) -> f64 {
         let elapsed = now.since(self.warm_up_start);
         if elapsed >= settings.slow_start {
@@ -168,8 +168,8 @@
         self.in_flight += 1;
     }
 
-    /// Takes in a call's result; ejection is left to the pool, which knows the cap. A trial that took
-    /// longer than `slow_limit` microseconds fails.
+    /// Records the result of a call. A trial that took longer than `slow_limit` microseconds fails. Ejection is
+    /// left to the pool, which enforces the limit on ejected upstreams.
     pub(super) fn finished(
         &mut self,
         now: MonotonicTime,
@@ -215,7 +215,7 @@
         if self.health.is_on_trial(now) && latency.as_micros() as f64 > slow_limit {
             self.health.failed(now, settings);
         } else if self.health.succeeded(now, settings) {
-            // What it was like before the ejection must not eject it again.
+            // The latency from before the ejection must not eject the upstream again.
             self.latency = LatencyAverage::default();
             self.latency.record(now, latency, settings.latency_window);
             self.warm_up_start = now;
@@ -239,9 +239,10 @@
     }
 }
 
-/// Most calls in flight that tell little: keeps spill-over quick where the callers are not counted.
+/// Upper bound, in calls, of a caller's part of the slots. Keeps spill-over fast where the number of callers is not
+/// known.
 const MAX_SLOTS_PER_CALLER: f64 = 8.0;
-/// How much an upstream that refuses everything costs above one that refuses nothing.
+/// Extra cost of an upstream that refuses every call, as a multiple of the cost of one that refuses none.
 const REFUSAL_COST_FACTOR: f64 = 10.0;
-/// Weight of one result in the share of refusals.
+/// Weight of one result in the share of refusals, 0 to 1.
 const REFUSAL_SAMPLE_WEIGHT: f64 = 0.05;
--- a/crates/coltsfootroute/src/routing/upstream_tier.rs
+++ b/crates/coltsfootroute/src/routing/upstream_tier.rs
@@ -1,7 +1,7 @@
-//! How near an upstream is to its caller.
+//! Topological distance of an upstream from its caller.
 
 value_type! {
-    /// Nearness of an upstream, nearest first.
+    /// Distance of an upstream from its caller, nearest first.
     pub enum UpstreamTier {
         /// In the caller's failure domain.
         OwnDomain,
@@ -16,7 +16,7 @@
     /// Number of tiers.
     pub const COUNT: usize = 3;
 
-    /// Position in the order of nearness.
+    /// Returns the position in the order of distance, 0 for the nearest tier.
     pub fn index(self) -> usize {
         self as usize
     }
