--- a/crates/coltsfootroute/src/retry.rs
+++ b/crates/coltsfootroute/src/retry.rs
@@ -1,9 +1,9 @@
-//! Retry accounts: the bound on retries of one client request.
+//! Bounds on the retries of one client request and on the retries that reach one upstream.
 //!
-//! The node that takes a client request in opens its account in an [`AccountLedger`]. Whoever wants to
-//! retry a call of that request, however deep, asks [`RetryPolicy`] whether that is safe and useful and
-//! takes one token from the account. The guard of the upstream that is chosen asks its [`ServiceThrottle`] whether the
-//! upstream bears it.
+//! The node that receives a client request opens its account in an [`AccountLedger`]. A node that wants to retry a call
+//! of that request, at any depth, checks with [`RetryPolicy`] whether the retry is safe and useful and acquires one
+//! token from the account. The guard of the chosen upstream checks with its [`ServiceThrottle`] whether the upstream
+//! can sustain the retry.
 
 mod account_ledger;
 mod acquire_denial;
--- a/crates/coltsfootroute/src/retry/account_ledger.rs
+++ b/crates/coltsfootroute/src/retry/account_ledger.rs
@@ -1,4 +1,4 @@
-//! The accounts of the client requests that a node took in.
+//! Retry accounts of the client requests that entered at a node.
 
 use std::collections::BTreeSet;
 
@@ -11,10 +11,10 @@
 
 /// Retry accounts at the node where client requests enter.
 ///
-/// The number of retries that one request causes is bounded by its budget, at any depth and fan-out:
-/// whoever retries first takes a token here under an id of its own drawing, and retries once for each
-/// id that was granted. A lost message costs a token at most and never yields one; a repeated message
-/// finds the answer that it got before; a ledger that died knows no accounts and denies.
+/// The number of retries that one request causes is bounded by its budget, at any depth and fan-out: before a retry,
+/// the caller acquires a token here under an id that it draws at random, and it retries once for each granted id. A
+/// lost message costs at most one token and never grants one. A repeated message gets the same answer as before. After
+/// a restart the ledger knows none of the earlier accounts and denies their requests.
 ///
 /// Invariants: at most `max_accounts` accounts; each account has one entry in `expiries`.
 #[derive(Clone, Debug)]
@@ -31,13 +31,13 @@
 }
 
 impl AccountLedger {
-    /// An empty ledger.
+    /// Creates a ledger without accounts.
     pub fn new(settings: LedgerSettings) -> Self {
         Self { settings, accounts: IndexMap::new(), expiries: BTreeSet::new() }
     }
 
-    /// Opens the account of `request` with `budget` tokens. A request id is never used twice; an
-    /// account that is open already keeps its budget and its tokens taken.
+    /// Opens the account of `request` with `budget` tokens. Request ids must be unique. An account that is already
+    /// open keeps its budget and the tokens acquired so far.
     pub fn open(
         &mut self,
         now: MonotonicTime,
@@ -59,8 +59,8 @@
         OpenResult::Opened
     }
 
-    /// Takes a token for one retry. `token_id` is drawn at random by the asker, once for each retry:
-    /// the same id again gets the same answer and costs nothing.
+    /// Acquires a token for one retry. The caller draws `token_id` at random once for each retry: the same id gets the
+    /// same answer again and costs no further token.
     pub fn acquire(
         &mut self,
         now: MonotonicTime,
@@ -74,29 +74,29 @@
         }
     }
 
-    /// Closes the account of a request that has its final answer.
+    /// Closes the account of a request that has received its final answer.
     pub fn close(&mut self, request: RequestId) {
         if let Some(entry) = self.accounts.swap_remove(&request) {
             self.expiries.remove(&(entry.expires_at, request));
         }
     }
 
-    /// Tokens taken by `request`; `None` where no account is open.
+    /// Returns the number of tokens granted to `request`; `None` if it has no open account.
     pub fn granted(&self, request: RequestId) -> Option<u32> {
         self.accounts.get(&request).map(|entry| entry.account.granted_count())
     }
 
-    /// Tokens left to `request`; `None` where no account is open.
+    /// Returns the number of tokens that `request` has left; `None` if it has no open account.
     pub fn remaining(&self, request: RequestId) -> Option<u32> {
         self.accounts.get(&request).map(|entry| entry.account.remaining())
     }
 
-    /// Number of open accounts.
+    /// Returns the number of open accounts.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether no account is open.
+    /// Returns whether no account is open.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
--- a/crates/coltsfootroute/src/retry/acquire_denial.rs
+++ b/crates/coltsfootroute/src/retry/acquire_denial.rs
@@ -1,11 +1,11 @@
-//! Why a token was denied.
+//! Reasons for denying a retry token.
 
 value_type! {
-    /// Why an account gave no token.
+    /// Reason for denying a token.
     pub enum AcquireDenial {
         /// The account was never opened, is closed or has expired.
         UnknownAccount,
-        /// All tokens of the request are taken.
+        /// All tokens of the request have been acquired.
         BudgetSpent,
         /// The request's deadline has passed.
         DeadlinePassed,
@@ -13,7 +13,7 @@
 }
 
 impl AcquireDenial {
-    /// The denial's name in logs and metric labels.
+    /// Returns the denial's name in logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownAccount => "unknown-account",
--- a/crates/coltsfootroute/src/retry/acquire_result.rs
+++ b/crates/coltsfootroute/src/retry/acquire_result.rs
@@ -1,13 +1,13 @@
-//! Answer to the taking of a token.
+//! Result of acquiring a retry token.
 
 use super::AcquireDenial;
 
 value_type! {
-    /// Whether a retry may go ahead.
+    /// Result of acquiring a token for a retry.
     pub enum AcquireResult {
-        /// One token is taken: the asker may retry once.
+        /// One token was acquired; the caller may retry once.
         Granted,
-        /// No token: the asker must not retry.
+        /// No token was acquired; the caller must not retry.
         Denied(AcquireDenial),
     }
 }
--- a/crates/coltsfootroute/src/retry/demand_rate.rs
+++ b/crates/coltsfootroute/src/retry/demand_rate.rs
@@ -1,14 +1,14 @@
-//! How often something is asked for.
+//! Decaying rate of retry requests.
 
 use std::time::Duration;
 
 use crate::time::MonotonicTime;
 
-/// Time constant with which a question loses weight: a few hundred questions a second are known within it, and a
-/// trouble of several seconds is far longer.
+/// Time constant with which the weight of a request decays. Long enough to measure a rate of a few hundred requests a
+/// second, and much shorter than an outage of several seconds.
 const DECAY_TIME: Duration = Duration::from_millis(250);
 
-/// Rate of the questions of late, each weighted by how recent it is.
+/// Rate of recent requests, weighted by an exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DemandRate {
     /// Weighted count at `counted_at`.
@@ -17,13 +17,13 @@
 }
 
 impl DemandRate {
-    /// Counts a question.
+    /// Records a request.
     pub fn record(&mut self, now: MonotonicTime) {
         self.weight = self.weight_at(now) + 1.0;
         self.counted_at = now;
     }
 
-    /// Questions expected in `span` at the present rate.
+    /// Returns the number of requests expected in `span` at the current rate.
     pub fn expected(&self, now: MonotonicTime, span: Duration) -> u64 {
         (self.weight_at(now) * span.div_duration_f64(DECAY_TIME)) as u64
     }
--- a/crates/coltsfootroute/src/retry/failed_attempt.rs
+++ b/crates/coltsfootroute/src/retry/failed_attempt.rs
@@ -8,27 +8,27 @@
 };
 
 record_type! {
-    /// What a caller knows when an attempt of a call has failed.
+    /// Facts about a failed attempt of a call on which the caller's decision to retry is based.
     pub struct FailedAttempt {
-        /// Whether the attempt ran.
+        /// Whether the attempt was executed.
         pub outcome: CallOutcome,
-        /// Reason of the refusal, if it was one.
+        /// Reason of the refusal; `None` if the attempt was not refused.
         pub reason: Option<RefusalReason>,
-        /// Whether the operation may be repeated.
+        /// Whether the operation may be executed more than once.
         pub repeatable: bool,
-        /// Whether it failed for a nested call that was not served, after all attempts made for that one.
+        /// Whether it failed because a nested call was not served after all of that call's own attempts.
         pub failed_below: bool,
         /// Deadline of the call on this node's clock.
         pub deadline: MonotonicTime,
-        /// Attempts made so far, the failed one included; at least 1.
+        /// Number of attempts made, including the failed one; at least 1.
         pub attempts: u32,
-        /// Those of `attempts` that an upstream has rejected, at most as many.
+        /// Number of `attempts` that an upstream rejected; at most `attempts`.
         pub rejections: u32,
-        /// Attempts that the operation allows; `None` where it sets no bound.
+        /// Maximum number of attempts that the operation allows; `None` if it sets no limit.
         pub max_attempts: Option<u32>,
-        /// Whether the service sheds calls of this importance now.
+        /// Whether the service currently sheds calls of this importance.
         pub shedding: bool,
-        /// Time that the call is expected to take; `None` where unknown.
+        /// Expected duration of the call; `None` if unknown.
         pub expected: Option<Duration>,
     }
 }
--- a/crates/coltsfootroute/src/retry/give_up_cause.rs
+++ b/crates/coltsfootroute/src/retry/give_up_cause.rs
@@ -1,27 +1,27 @@
-//! Why a call is not retried.
+//! Causes for not retrying a call.
 
 value_type! {
-    /// Why a call is not retried.
+    /// Cause for not retrying a call.
     pub enum GiveUpCause {
-        /// It completed: the answer stands, whatever it says.
+        /// The call completed, so its answer is final, whatever its status.
         Completed,
-        /// It may have run and must not run twice.
+        /// The call may have been executed and must not be executed twice.
         NotRepeatable,
         /// A retry would not finish before the deadline.
         TooLate,
-        /// The service sheds calls of this importance: a retry would add to the overload.
+        /// The service sheds calls of this importance, so a retry would add to the overload.
         Shedding,
-        /// A nested call was not served: what could be tried was tried where it failed.
+        /// A nested call was not served, and its caller has already made all useful attempts.
         FailedBelow,
-        /// Another attempt would get the same answer.
+        /// Any other upstream would refuse the call for the same reason.
         Final,
-        /// This call has been tried often enough.
+        /// The call has used up its attempts.
         AttemptsSpent,
     }
 }
 
 impl GiveUpCause {
-    /// The cause's name in logs and metric labels.
+    /// Returns the cause's name in logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Completed => "completed",
--- a/crates/coltsfootroute/src/retry/guard_tracker.rs
+++ b/crates/coltsfootroute/src/retry/guard_tracker.rs
@@ -1,4 +1,4 @@
-//! The guards of a service, each of which bounds repeats by its own calls.
+//! Detection of changes in the set of guards of a service.
 
 use std::time::Duration;
 
@@ -10,24 +10,26 @@
     time::MonotonicTime,
 };
 
-/// All nodes of a deployment that starts find each other within this.
+/// Time within which all nodes of a starting deployment discover each other.
 const STARTUP_TIME: Duration = Duration::from_secs(10);
 
-/// The guards of a service: says when one has come, gone or begun anew, so that calls have moved from one to another.
+/// Tracks the guards of a service, each of which bounds repeats by its own calls. Reports when a guard has joined, left
+/// or restarted, since calls then move from one guard to another.
 #[derive(Clone, Debug)]
 pub struct GuardTracker {
     known: IndexMap<NodeId, Incarnation>,
-    /// Whether all nodes of the deployment start with this one: nobody has had calls before.
+    /// Whether all nodes of the deployment start together with this one, so that no guard has received calls before.
     is_deployment_start: bool,
 }
 
 impl GuardTracker {
-    /// No guard is known.
+    /// Creates a tracker that knows no guard.
     pub fn new(is_deployment_start: bool) -> Self {
         Self { known: IndexMap::new(), is_deployment_start }
     }
 
-    /// Takes in the members of the service at `now`, counted from the start of the process; whether calls may have moved.
+    /// Updates the guards to the live members of the service and returns whether calls may have moved between guards.
+    /// `now` is counted from the start of the process. Changes during the start of a deployment are not reported.
     pub fn update(&mut self, now: MonotonicTime, members: &[MemberRecord]) -> bool {
         let live = members.iter().filter(|member| member.state.is_live());
         let live: IndexMap<_, _> = live.map(|member| (member.node, member.incarnation)).collect();
--- a/crates/coltsfootroute/src/retry/ledger_settings.rs
+++ b/crates/coltsfootroute/src/retry/ledger_settings.rs
@@ -1,13 +1,13 @@
-//! Settings of a ledger.
+//! Settings of the retry account ledger.
 
 use std::time::Duration;
 
 record_type! {
     /// Settings of an [`AccountLedger`](super::AccountLedger).
     pub struct LedgerSettings {
-        /// Most accounts open at a time; a request beyond gets no retries.
+        /// Maximum number of open accounts; further requests get no retries.
         pub max_accounts: usize,
-        /// How long after its deadline an account still answers repeated messages.
+        /// Time after its deadline for which an account still answers repeated messages.
         pub expiry_margin: Duration,
     }
 }
@@ -19,7 +19,7 @@
 }
 
 impl LedgerSettings {
-    /// Sets the most accounts open at a time.
+    /// Sets the maximum number of open accounts.
     pub fn with_max_accounts(mut self, max_accounts: usize) -> Self {
         self.max_accounts = max_accounts;
         self
--- a/crates/coltsfootroute/src/retry/open_result.rs
+++ b/crates/coltsfootroute/src/retry/open_result.rs
@@ -1,13 +1,13 @@
-//! Answer to the opening of an account.
+//! Result of opening a retry account.
 
 value_type! {
-    /// Whether an account was opened.
+    /// Result of opening a retry account.
     pub enum OpenResult {
-        /// The account is open.
+        /// The account was opened.
         Opened,
-        /// An account of that request is open already and stays as it is.
+        /// The request already has an open account, which is unchanged.
         AlreadyOpen,
-        /// The ledger is full: the request gets no retries.
+        /// The ledger is full, so the request gets no retries.
         Full,
     }
 }
--- a/crates/coltsfootroute/src/retry/recent_calls.rs
+++ b/crates/coltsfootroute/src/retry/recent_calls.rs
@@ -1,58 +1,57 @@
-//! Calls of the last seconds.
+//! Count of calls over the last seconds.
 
 use std::collections::VecDeque;
 
 use crate::time::MonotonicTime;
 
-/// Thousandths of a retry in a retry.
+/// Number of accounting units, thousandths of a retry, in one retry.
 pub(super) const THOUSANDTHS_PER_RETRY: u64 = 1_000;
-/// Microseconds in a second.
 pub(super) const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Counts calls, or retries of them, by the second, and forgets them after a fixed number of seconds.
+/// Counts calls or retries per second and drops the counts after a fixed number of seconds.
 ///
-/// Invariant: `total` is the sum of `earlier` and `current`; `earlier` holds fewer seconds than are kept.
+/// Invariant: `total` is the sum of `earlier` and `current`; `earlier` holds fewer than `seconds` entries.
 #[derive(Clone, Debug)]
 pub(super) struct RecentCalls {
-    /// Seconds kept, the one under way included; at least 1.
+    /// Number of seconds kept, including the current one; at least 1.
     seconds: u64,
-    /// Calls of each second before the one under way, the newest last.
+    /// Calls of each second before the current one, newest last.
     earlier: VecDeque<u64>,
-    /// Calls of the second under way.
+    /// Calls of the current second.
     current: u64,
-    /// The second under way, from the start of the clock.
+    /// Index of the current second, counted from the start of the clock.
     newest: u64,
     total: u64,
 }
 
 impl RecentCalls {
-    /// A count over so many seconds, at least 1.
+    /// Creates a count over the last `seconds`, at least 1.
     pub fn new(seconds: u64) -> Self {
         Self { seconds, earlier: VecDeque::new(), current: 0, newest: 0, total: 0 }
     }
 
-    /// Counts a call.
+    /// Counts a call at `now`.
     pub fn count(&mut self, now: MonotonicTime) {
         self.advance(now);
         self.current += 1;
         self.total += 1;
     }
 
-    /// Takes back a call counted in the second under way; an earlier one stays.
-    pub fn uncount(&mut self, now: MonotonicTime) {
+    /// Removes a call that was counted in the current second; calls of earlier seconds stay counted.
+    pub fn remove(&mut self, now: MonotonicTime) {
         self.advance(now);
-        let taken = self.current.min(1);
-        self.current -= taken;
-        self.total -= taken;
+        let removed = self.current.min(1);
+        self.current -= removed;
+        self.total -= removed;
     }
 
-    /// Calls counted in the seconds kept.
+    /// Returns the number of calls counted in all seconds kept.
     pub fn total(&mut self, now: MonotonicTime) -> u64 {
         self.advance(now);
         self.total
     }
 
-    /// Calls counted in the newest `seconds` of those kept, at least 1: the one under way and those before it.
+    /// Returns the number of calls in the newest `seconds` of those kept, including the current one; at least 1.
     pub fn newest(&mut self, now: MonotonicTime, seconds: u64) -> u64 {
         self.advance(now);
         let earlier = usize::try_from(seconds.saturating_sub(1)).unwrap_or(usize::MAX);
--- a/crates/coltsfootroute/src/retry/repeat_cause.rs
+++ b/crates/coltsfootroute/src/retry/repeat_cause.rs
@@ -1,15 +1,15 @@
-//! Why a call reached a further upstream.
+//! Causes for sending a call to another upstream.
 
 value_type! {
-    /// Why a call that had reached an upstream, or may have, was sent to a further one.
+    /// Cause for sending a call to another upstream after it reached, or may have reached, one.
     pub enum RepeatCause {
-        /// The upstream rejected it: it has not run there.
+        /// The upstream rejected the call without executing it.
         Rejected,
-        /// The upstream answered that it failed.
+        /// The upstream answered that the call failed.
         Failed,
-        /// The upstream ended or broke off without a whole answer.
+        /// The upstream terminated or broke off without a complete answer.
         Broken,
-        /// The node beside the upstream did not answer: the call may have gone no further.
+        /// The node beside the upstream did not answer; the call may not have reached the upstream.
         Unanswered,
     }
 }
@@ -18,7 +18,7 @@
     /// All causes.
     pub const ALL: [Self; 4] = [Self::Rejected, Self::Failed, Self::Broken, Self::Unanswered];
 
-    /// The cause's name in metric labels.
+    /// Returns the cause's name in metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Rejected => "rejected",
--- a/crates/coltsfootroute/src/retry/retry_account.rs
+++ b/crates/coltsfootroute/src/retry/retry_account.rs
@@ -1,17 +1,17 @@
-//! Account of one client request.
+//! Retry account of one client request.
 
 use super::{AcquireDenial, AcquireResult};
 use crate::time::MonotonicTime;
 
-/// Tokens of one client request.
+/// Retry tokens of one client request.
 ///
-/// Invariant: `granted` holds different ids, at most `budget` of them, and only grows.
+/// Invariant: `granted` holds at most `budget` distinct ids and only grows.
 #[derive(Clone, Debug)]
 pub(super) struct RetryAccount {
     budget: u32,
     deadline: MonotonicTime,
-    /// The ids that were granted: a repeated message finds its own answer here. Denied ids need no
-    /// record, because a spent budget never comes back.
+    /// Granted ids, from which repeated messages are answered. Denied ids need not be stored, because a spent budget
+    /// is never refilled.
     granted: Vec<u64>,
 }
 
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn granted_count(&self) -> u32 {
-        // Bounded by `budget`, which is a `u32`.
+        // At most `budget`, which is a `u32`.
         self.granted.len() as u32
     }
 }
--- a/crates/coltsfootroute/src/retry/retry_bucket.rs
+++ b/crates/coltsfootroute/src/retry/retry_bucket.rs
@@ -1,4 +1,4 @@
-//! Bound on retries by a bucket of tokens.
+//! Token bucket that bounds retries.
 
 use super::{
     ThrottleSettings,
@@ -6,30 +6,30 @@
 };
 use crate::time::MonotonicTime;
 
-/// Token bucket that calls and time fill.
+/// Token bucket that is refilled by calls and by time.
 ///
-/// Invariant: `tokens` never exceeds the burst, and never falls further below zero than it.
+/// Invariant: `tokens` is between minus the burst and the burst.
 #[derive(Clone, Debug)]
 pub(super) struct RetryBucket {
     settings: ThrottleSettings,
-    /// Thousandths of a retry; below zero while repeats that could not be helped are paid back.
+    /// Available tokens in thousandths of a retry; negative while unavoidable repeats are still to be compensated.
     tokens: i64,
     earned_at: MonotonicTime,
 }
 
 impl RetryBucket {
-    /// A bucket with its burst tokens up.
+    /// Creates a bucket that holds its full burst.
     pub fn new(now: MonotonicTime, settings: ThrottleSettings) -> Self {
         let tokens = thousandths_of(settings.burst);
         Self { settings, tokens, earned_at: now }
     }
 
-    /// Counts a first attempt into the service.
+    /// Records a first attempt to the service, which adds tokens.
     pub fn record_call(&mut self) {
         self.earn(self.settings.per_call_thousandths);
     }
 
-    /// Whether the service bears one more retry now; if so, it is counted.
+    /// Acquires a token for one retry; returns whether it was granted.
     pub fn try_retry(&mut self, now: MonotonicTime) -> bool {
         self.earn_by_time(now);
         let is_granted = self.tokens >= thousandths_of(1);
@@ -39,23 +39,23 @@
         is_granted
     }
 
-    /// Takes back a retry that was granted and did not happen.
+    /// Refunds the token of a granted retry that was not sent.
     pub fn refund(&mut self) {
         self.earn(THOUSANDTHS_PER_RETRY);
     }
 
-    /// Counts a repeat that could not be helped.
+    /// Charges a token for an unavoidable repeat, down to minus the burst.
     pub fn charge(&mut self) {
-        self.tokens = (self.tokens - thousandths_of(1)).max(-self.max_saved());
+        self.tokens = (self.tokens - thousandths_of(1)).max(-self.max_tokens());
     }
 
     fn earn(&mut self, thousandths: u64) {
         let earned = i64::try_from(thousandths).unwrap_or(i64::MAX);
-        self.tokens = self.tokens.saturating_add(earned).min(self.max_saved());
+        self.tokens = self.tokens.saturating_add(earned).min(self.max_tokens());
     }
 
-    /// Most that may be tokens.
-    fn max_saved(&self) -> i64 {
+    /// Returns the maximum number of tokens, the burst, in thousandths of a retry.
+    fn max_tokens(&self) -> i64 {
         thousandths_of(self.settings.burst)
     }
 
@@ -69,7 +69,7 @@
         if thousandths == 0 {
             return;
         }
-        // The part that earned nothing yet counts towards the next time.
+        // Keeps the elapsed time that has not yet earned a thousandth for the next refill.
         self.earned_at.0 += thousandths.saturating_mul(MICROS_PER_SECOND) / rate;
         self.earn(thousandths);
     }
--- a/crates/coltsfootroute/src/retry/retry_decision.rs
+++ b/crates/coltsfootroute/src/retry/retry_decision.rs
@@ -1,15 +1,15 @@
-//! What to do about a failed attempt.
+//! Decision on a failed attempt.
 
 use std::time::Duration;
 
 use super::GiveUpCause;
 
 value_type! {
-    /// What to do about a failed attempt.
+    /// Decision on a failed attempt.
     pub enum RetryDecision {
-        /// Take a token from the request's account; if granted, retry after `backoff`.
+        /// Acquire a token from the request's account and, if it is granted, retry after `backoff`.
         Retry {
-            /// Jittered wait before the retry.
+            /// Jittered delay before the retry.
             backoff: Duration,
         },
         /// Do not retry.
--- a/crates/coltsfootroute/src/retry/retry_demand.rs
+++ b/crates/coltsfootroute/src/retry/retry_demand.rs
@@ -1,14 +1,15 @@
-//! What retries of each importance are requested for, against what they get.
+//! Requested and granted retries by importance.
 
 use std::time::Duration;
 
 use super::{demand_rate::DemandRate, recent_calls::RecentCalls};
 use crate::{importance::Importance, time::MonotonicTime};
 
-/// Counts retries requested and granted by importance, and says how many to keep back for more important ones.
+/// Counts requested and granted retries by importance and computes how many to reserve for higher importances.
 ///
-/// A retry of a lower importance that is granted now is missing for a higher one later in the same window, so what the
-/// higher ones ask for of late is set aside for a whole window, less what they have had of it.
+/// A retry that is granted to a lower importance is no longer available to a higher one later in the same window.
+/// Therefore the number of retries that higher importances would request in a whole window at their current rate, less
+/// those already granted to them in the window, is reserved.
 #[derive(Clone, Debug)]
 pub(super) struct RetryDemand {
     window: Duration,
@@ -17,7 +18,7 @@
 }
 
 impl RetryDemand {
-    /// A count for a window of so many seconds.
+    /// Creates counts for a window of `seconds`.
     pub fn new(seconds: u64) -> Self {
         Self {
             window: Duration::from_secs(seconds),
@@ -26,28 +27,28 @@
         }
     }
 
-    /// Counts a requested retry.
+    /// Records a requested retry.
     pub fn record_request(&mut self, now: MonotonicTime, importance: Importance) {
         self.requested[importance.index()].record(now);
     }
 
-    /// Counts a retry that is granted.
+    /// Records a granted retry.
     pub fn record_grant(&mut self, now: MonotonicTime, importance: Importance) {
         self.granted[importance.index()].count(now);
     }
 
-    /// Takes back a retry that was granted and did not happen.
+    /// Removes a granted retry that was not sent from the count.
     pub fn refund(&mut self, now: MonotonicTime, importance: Importance) {
-        self.granted[importance.index()].uncount(now);
+        self.granted[importance.index()].remove(now);
     }
 
-    /// Retries to keep back for what is above `importance`.
+    /// Returns the number of retries to reserve for importances above `importance`.
     pub fn reserved_above(&mut self, now: MonotonicTime, importance: Importance) -> u64 {
         let mut reserved: u64 = 0;
         for index in importance.index() + 1..Importance::COUNT {
-            let wanted = self.requested[index].expected(now, self.window);
+            let expected = self.requested[index].expected(now, self.window);
             let granted = self.granted[index].total(now);
-            reserved = reserved.saturating_add(wanted.saturating_sub(granted));
+            reserved = reserved.saturating_add(expected.saturating_sub(granted));
         }
         reserved
     }
--- a/crates/coltsfootroute/src/retry/retry_policy.rs
+++ b/crates/coltsfootroute/src/retry/retry_policy.rs
@@ -1,4 +1,4 @@
-//! Whether to retry a failed attempt.
+//! Decision whether to retry a failed attempt.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
     time::MonotonicTime,
 };
 
-/// Decides whether a retry is safe and useful; the account then decides whether it may happen.
+/// Decides whether a retry is safe and useful. The request's account then decides whether it is granted.
 #[derive(Clone, Debug, Default)]
 pub struct RetryPolicy {
     settings: RetrySettings,
 }
 
 impl RetryPolicy {
-    /// A policy with `settings`.
+    /// Creates a policy with `settings`.
     pub fn new(settings: RetrySettings) -> Self {
         Self { settings }
     }
 
-    /// Decides on `attempt`. A retry goes to another upstream than the attempts before it.
+    /// Decides whether to retry after `attempt`. A retry goes to a different upstream than the earlier attempts.
     pub fn decide(
         &self,
         now: MonotonicTime,
@@ -61,14 +61,14 @@
         }
         let own_max = self.settings.max_attempts;
         let bound = attempt.max_attempts.map_or(own_max, |max| max.min(own_max));
-        // What an upstream has rejected has cost it next to nothing.
+        // Rejected attempts do not count, because they cost the upstream almost nothing.
         let counted = attempt.attempts.saturating_sub(attempt.rejections);
         let is_spent = counted >= bound || attempt.attempts >= self.settings.max_sends;
         is_spent.then_some(GiveUpCause::AttemptsSpent)
     }
 
     fn backoff(&self, rng: &mut impl Rng, attempt: &FailedAttempt) -> Duration {
-        // A leave says nothing of load: another upstream can take the call at once.
+        // A leaving upstream is no sign of overload, so another one can be tried immediately.
         if attempt.reason == Some(RefusalReason::Leaving) {
             return Duration::ZERO;
         }
@@ -80,10 +80,10 @@
     }
 }
 
-/// Keeps the factor of a backoff within 32 bits.
+/// Maximum number of times that the backoff is doubled; keeps the factor within 32 bits.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Whether every upstream would refuse the call for the same reason.
+/// Returns whether every upstream would refuse the call for the same reason.
 fn is_final(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::KeyConflict
--- a/crates/coltsfootroute/src/retry/retry_settings.rs
+++ b/crates/coltsfootroute/src/retry/retry_settings.rs
@@ -5,13 +5,14 @@
 record_type! {
     /// Settings of a [`RetryPolicy`](super::RetryPolicy).
     pub struct RetrySettings {
-        /// Upper end of the first backoff; doubles with each attempt.
+        /// Upper bound of the first backoff; doubles with each attempt.
         pub initial_backoff: Duration,
-        /// Upper end of the longest backoff.
+        /// Maximum upper bound of a backoff.
         pub max_backoff: Duration,
-        /// Most attempts of one call, the first included, that no upstream has rejected; at least 1.
+        /// Maximum number of attempts of one call, including the first but not those that an upstream rejected; at
+        /// least 1.
         pub max_attempts: u32,
-        /// Most attempts of one call, rejected ones included; at least 1.
+        /// Maximum number of attempts of one call, including rejected ones; at least 1.
         pub max_sends: u32,
     }
 }
--- a/crates/coltsfootroute/src/retry/retry_window.rs
+++ b/crates/coltsfootroute/src/retry/retry_window.rs
@@ -1,4 +1,4 @@
-//! Bound on retries by the calls of a sliding window.
+//! Sliding window that bounds retries to a share of the calls.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 };
 use crate::{importance::Importance, time::MonotonicTime};
 
-/// Seconds that the count of retries reaches further back than that of calls: both are counted by whole seconds, and
-/// in no window may more be spent than its own calls have earned.
+/// Number of seconds by which the count of retries reaches further back than the window of calls. Both are counted in
+/// whole seconds, and no window may spend more than its own calls earned.
 const EXTRA_SPENT_SECONDS: u64 = 1;
 
-/// Grants retries as long as those of the last seconds are fewer than the calls of a window earn, the more important first.
+/// Grants retries up to the number that the calls of a window earn, more important ones first.
 ///
-/// The window is the last one or the one before it, whichever had more calls: where a service fails, work above it
-/// ends early and makes fewer calls, just when repeats are needed. Where guards of the service have come or gone of late
-/// it is the mean of both: calls have moved from one to another, and the larger window of each would add up to nearly
-/// both windows of the service.
+/// The window that counts is the last one or the one before it, whichever has more calls: when a service fails, its
+/// callers abort early and make fewer calls, exactly when retries are needed. For two windows after guards of the
+/// service joined, left or restarted, the mean of both windows counts instead: calls have moved between guards, and the
+/// larger window of each guard would add up to nearly both windows of the service.
 ///
-/// Invariant: in any span as long as the window at most what its calls or those of the window before it earn is
-/// granted, or the burst where that is more; that holds for the sum over all guards of the service, too.
+/// Invariant: in any span of the window's length, at most as many retries are granted as the calls of that span or of
+/// the window before it earn, or the burst if that is more. This also holds for the sum over all guards of the service.
 #[derive(Clone, Debug)]
 pub(super) struct RetryWindow {
     settings: ThrottleSettings,
-    /// Two windows of calls.
+    /// Calls of the last two windows.
     calls: RecentCalls,
-    /// Retries granted, and repeats that could not be helped.
+    /// Granted retries and unavoidable repeats.
     spent: RecentCalls,
     demand: RetryDemand,
-    /// When a guard of the service last came, went or began anew.
+    /// Time at which another guard of the service last joined, left or restarted; `None` if that never happened.
     guard_change: Option<MonotonicTime>,
 }
 
 impl RetryWindow {
-    /// A window that has seen nothing.
+    /// Creates a window without calls.
     pub fn new(settings: ThrottleSettings) -> Self {
         let calls = RecentCalls::new(settings.window_seconds * 2);
         let spent = RecentCalls::new(settings.window_seconds + EXTRA_SPENT_SECONDS);
@@ -43,17 +43,17 @@
         Self { settings, calls, spent, demand, guard_change: None }
     }
 
-    /// Another guard of the service has come, gone or begun anew.
+    /// Records that another guard of the service has joined, left or restarted.
     pub fn record_guard_change(&mut self, now: MonotonicTime) {
         self.guard_change = Some(now);
     }
 
-    /// Counts a first attempt into the service.
+    /// Records a first attempt to the service.
     pub fn record_call(&mut self, now: MonotonicTime) {
         self.calls.count(now);
     }
 
-    /// Whether the service bears one more retry now; if so, it is counted.
+    /// Grants and counts one retry if the window allows it; returns whether it was granted.
     pub fn try_retry(&mut self, now: MonotonicTime, importance: Importance) -> bool {
         self.demand.record_request(now, importance);
         let reserved = self.demand.reserved_above(now, importance);
@@ -66,28 +66,28 @@
         is_granted
     }
 
-    /// Takes back a retry that was granted and did not happen.
+    /// Refunds a granted retry that was not sent.
     pub fn refund(&mut self, now: MonotonicTime, importance: Importance) {
-        self.spent.uncount(now);
+        self.spent.remove(now);
         self.demand.refund(now, importance);
     }
 
-    /// Counts a repeat that could not be helped.
+    /// Charges the window for an unavoidable repeat.
     pub fn charge(&mut self, now: MonotonicTime) {
         self.spent.count(now);
     }
 
-    /// Thousandths of a retry.
+    /// Returns what the calls have earned, at least the burst, in thousandths of a retry.
     fn earned(&mut self, now: MonotonicTime) -> u64 {
         let newest = self.calls.newest(now, self.settings.window_seconds);
-        let before = self.calls.total(now) - newest;
+        let previous = self.calls.total(now) - newest;
         let moved = self.may_calls_have_moved(now);
-        let earning = if moved { (newest + before) / 2 } else { newest.max(before) };
+        let earning = if moved { (newest + previous) / 2 } else { newest.max(previous) };
         let earned = earning.saturating_mul(self.settings.per_call_thousandths);
         earned.max(self.settings.burst.saturating_mul(THOUSANDTHS_PER_RETRY))
     }
 
-    /// Whether calls of the last two windows may have moved from one guard to another.
+    /// Returns whether calls of the last two windows may have moved from one guard to another.
     fn may_calls_have_moved(&self, now: MonotonicTime) -> bool {
         let windows = Duration::from_secs(self.settings.window_seconds * 2);
         self.guard_change.is_some_and(|change| now < change + windows)
--- a/crates/coltsfootroute/src/retry/service_throttle.rs
+++ b/crates/coltsfootroute/src/retry/service_throttle.rs
@@ -1,10 +1,10 @@
-//! Bound on the retries that reach an upstream.
+//! Throttle for the retries that reach an upstream.
 
 use super::{ThrottleSettings, retry_bucket::RetryBucket, retry_window::RetryWindow};
 use crate::{importance::Importance, time::MonotonicTime};
 
-/// Bounds the retries that reach an upstream to a share of its calls, whichever callers and client requests they
-/// belong to. Kept by the guard: each upstream's share adds up to that of its service.
+/// Limits the retries that reach an upstream to a share of its calls, across all callers and client requests. Each
+/// guard has its own throttle, so the limits of the upstreams add up to that of their service.
 #[derive(Clone, Debug)]
 pub struct ServiceThrottle {
     bound: RetryBound,
@@ -12,14 +12,14 @@
 
 #[derive(Clone, Debug)]
 enum RetryBound {
-    /// Where nothing but a burst is saved up.
+    /// Used if at most the burst can be saved up.
     Bucket(RetryBucket),
-    /// Where the calls of some seconds earn for the same seconds.
+    /// Used if the calls of a window of some seconds earn the retries of that window.
     Window(Box<RetryWindow>),
 }
 
 impl ServiceThrottle {
-    /// A throttle with its burst saved up.
+    /// Creates a throttle with its burst available.
     pub fn new(now: MonotonicTime, settings: ThrottleSettings) -> Self {
         let bound = match settings.window_seconds {
             0 => RetryBound::Bucket(RetryBucket::new(now, settings)),
@@ -28,7 +28,7 @@
         Self { bound }
     }
 
-    /// Another guard of the service, with a throttle of its own, has come, gone or begun anew.
+    /// Records that another guard of the service, which has its own throttle, has joined, left or restarted.
     pub fn record_guard_change(&mut self, now: MonotonicTime) {
         match &mut self.bound {
             RetryBound::Bucket(_) => {}
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Records a first attempt.
     pub fn record_call(&mut self, now: MonotonicTime) {
         match &mut self.bound {
             RetryBound::Bucket(bucket) => bucket.record_call(),
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Whether the upstream bears one more retry now, for a request of `importance`; if so, it is counted.
+    /// Grants and counts one retry for a request of `importance` if the limit allows it; returns whether it was
+    /// granted.
     pub fn try_retry(&mut self, now: MonotonicTime, importance: Importance) -> bool {
         match &mut self.bound {
             RetryBound::Bucket(bucket) => bucket.try_retry(now),
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Gives back a retry that did not reach the upstream.
+    /// Refunds a granted retry that did not reach the upstream.
     pub fn refund(&mut self, now: MonotonicTime, importance: Importance) {
         match &mut self.bound {
             RetryBound::Bucket(bucket) => bucket.refund(),
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Counts a repeat that could not be helped: a first attempt of a call below work that is itself run
-    /// again.
+    /// Charges the throttle for an unavoidable repeat: the first attempt of a call that is nested below a call that is
+    /// itself executed again.
     pub fn charge(&mut self, now: MonotonicTime) {
         match &mut self.bound {
             RetryBound::Bucket(bucket) => bucket.charge(),
