--- a/crates/coltsfootroute/src/table.rs
+++ b/crates/coltsfootroute/src/table.rs
@@ -1,7 +1,7 @@
-//! The platform's transactional table service, as the library's state machines see it.
+//! Requests to the platform's transactional table service, and the policies in front of it.
 //!
-//! State machines emit [`TableRequest`]s and take [`TableReply`]s; the embedding process carries them
-//! to the service. Keys are flat text; a row's version rises with every write of that row.
+//! State machines emit [`TableRequest`]s and receive [`TableReply`]s; the embedding process exchanges them with the
+//! service. Keys are plain text. A row's version increases with every write of that row.
 
 mod circuit_breaker;
 mod memory_table;
--- a/crates/coltsfootroute/src/table/circuit_breaker.rs
+++ b/crates/coltsfootroute/src/table/circuit_breaker.rs
@@ -8,15 +8,15 @@
 use crate::time::MonotonicTime;
 
 record_type! {
-    /// When a circuit breaker opens and how it probes.
+    /// Settings of a [`CircuitBreaker`].
     pub struct BreakerSettings {
-        /// Failures in a row that open it; at least 1.
+        /// Number of consecutive failures that open the breaker; at least 1.
         pub failures_to_open: u32,
-        /// First time it stays open; doubled with each failed probe.
+        /// Time for which it stays open at first; doubles with each failed probe.
         pub initial_open: Duration,
-        /// Longest time it stays open.
+        /// Maximum time for which it stays open.
         pub max_open: Duration,
-        /// A probe without a result for this long is taken to have failed.
+        /// Time after which a probe without a result is considered failed.
         pub probe_timeout: Duration,
     }
 }
@@ -35,38 +35,39 @@
 value_type! {
     /// State of a [`CircuitBreaker`].
     pub enum BreakerState {
-        /// Requests pass; counts the failures in a row.
+        /// Requests pass; holds the number of consecutive failures.
         Closed(u32),
-        /// Nothing passes until the time given.
+        /// No request passes until the given time.
         Open(MonotonicTime),
-        /// One probe is under way since the time given.
+        /// One probe has been in flight since the given time.
         HalfOpen(MonotonicTime),
     }
 }
 
 record_type! {
-    /// Fails fast while the service doesn't answer, and lets one probe at a time through.
+    /// Circuit breaker that rejects requests while the service is failing and admits one probe at a time.
     pub struct CircuitBreaker {
         settings: BreakerSettings,
         state: BreakerState,
-        /// Time to stay open after the next failed probe.
+        /// Time for which the breaker stays open the next time that it opens, before jitter.
         next_open: Duration,
     }
 }
 
 impl CircuitBreaker {
-    /// A closed breaker.
+    /// Creates a closed breaker.
     pub fn new(settings: BreakerSettings) -> Self {
         let next_open = settings.initial_open;
         Self { settings, state: BreakerState::Closed(0), next_open }
     }
 
-    /// The state now.
+    /// Returns the state, which changes only with admitted requests and recorded results.
     pub fn state(&self) -> BreakerState {
         self.state
     }
 
-    /// Whether a request may be sent at `now`. Where it may, [`CircuitBreaker::record`] must follow.
+    /// Returns whether a request may be sent at `now`, and starts a probe if the breaker isn't closed. After each
+    /// admitted request, the caller must call [`CircuitBreaker::record`].
     pub fn admit(&mut self, now: MonotonicTime) -> bool {
         if !self.would_admit(now) {
             return false;
@@ -77,7 +78,7 @@
         true
     }
 
-    /// What [`CircuitBreaker::admit`] would say, without starting a probe.
+    /// Returns what [`CircuitBreaker::admit`] would return, without starting a probe.
     pub fn would_admit(&self, now: MonotonicTime) -> bool {
         match self.state {
             BreakerState::Closed(_) => true,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Takes what an admitted request showed.
+    /// Records the result of an admitted request.
     pub fn record(&mut self, now: MonotonicTime, health: StoreHealth, rng: &mut impl Rng) {
         if health == StoreHealth::Answering {
             self.state = BreakerState::Closed(0);
@@ -98,7 +99,7 @@
                 self.state = BreakerState::Closed(failures + 1);
             }
             BreakerState::Closed(_) | BreakerState::HalfOpen(_) => self.open(now, rng),
-            // A request sent before the breaker opened: nothing new.
+            // The request was sent before the breaker opened, so its failure is already accounted for.
             BreakerState::Open(_) => {}
         }
     }
--- a/crates/coltsfootroute/src/table/memory_table.rs
+++ b/crates/coltsfootroute/src/table/memory_table.rs
@@ -1,11 +1,13 @@
-//! A table in memory, for stand-ins and tests.
+//! In-memory table for stand-ins and tests.
 
 use std::{collections::BTreeMap, ops::Bound};
 
 use super::{RowCondition, RowKey, RowVersion, RowWrite, StoredRow, TableReply, TableRequest};
 
-/// Rows by key, with the semantics of the platform's service. The version of a row that was deleted
-/// starts again at 1: a client that relies on versions must not delete.
+/// In-memory table with the semantics of the platform's service.
+///
+/// The version of a row that is deleted and written again restarts at 1, so a client that relies on versions must not
+/// delete rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemoryTable {
     rows: BTreeMap<String, RowState>,
@@ -18,7 +20,7 @@
 }
 
 impl MemoryTable {
-    /// Carries out `request` whole.
+    /// Executes `request` atomically.
     pub fn apply(&mut self, request: &TableRequest) -> TableReply {
         match request {
             TableRequest::Read(key) => TableReply::Rows(self.row(key).into_iter().collect()),
--- a/crates/coltsfootroute/src/table/object_reply.rs
+++ b/crates/coltsfootroute/src/table/object_reply.rs
@@ -1,17 +1,17 @@
 //! Replies of the object store.
 
 record_type! {
-    /// What came back for a request to the object store.
+    /// Reply to a request to the object store.
     pub enum ObjectReply {
-        /// The object was stored whole.
+        /// The object was stored completely.
         Stored,
-        /// The object read.
+        /// Content of the object that was read.
         Found(Vec<u8>),
-        /// There is no such object.
+        /// The object does not exist.
         Missing,
-        /// The service provably did not carry out the request.
+        /// The service certainly did not execute the request.
         Unavailable,
-        /// No answer came: a write may or may not have taken effect.
+        /// No reply was received, so a write may or may not have taken effect.
         Uncertain,
     }
 }
--- a/crates/coltsfootroute/src/table/rate_budget.rs
+++ b/crates/coltsfootroute/src/table/rate_budget.rs
@@ -1,20 +1,20 @@
-//! A node's share of the table service's rates.
+//! A node's share of the request rates of the table service.
 
 use std::time::Duration;
 
 use super::{StoreUse, TableRequest, TokenBucket};
 use crate::time::MonotonicTime;
 
-/// Rates that all nodes together may use, and the number of nodes that share them.
+/// Request rates that all nodes together may use, and how they are shared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RateShare {
-    /// Writes a second of all nodes together; above 0.
+    /// Writes per second of all nodes together; above 0.
     pub writes_per_s: f64,
-    /// Reads a second of all nodes together; above 0.
+    /// Reads per second of all nodes together; above 0.
     pub reads_per_s: f64,
-    /// Nodes expected to share the rates; at least 1.
+    /// Number of nodes expected to share the rates; at least 1.
     pub nodes: u32,
-    /// Seconds of its own share that an idle node may save up.
+    /// Burst of a node, in seconds of its share of the rate.
     pub burst_s: f64,
 }
 
@@ -24,34 +24,35 @@
     }
 }
 
-/// One node's budget: an equal share of each rate. Requests without a waiting caller leave a reserve
-/// for claims.
+/// Request budget of one node: an equal share of each rate. Requests without a waiting caller leave a reserve for
+/// claims.
 ///
-/// Where many nodes share, an equal share would not carry one change of the configuration, which takes
-/// three reads and a write within seconds, nor one start. Few nodes do either at a time, so those requests
-/// have a small budget of their own there.
+/// If many nodes share the rates, an equal share is too small for one change of the configuration, which needs three
+/// reads and a write within seconds, or for one start of a node. Since few nodes do either at the same time, requests
+/// for configuration then have a small separate budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RateBudget {
     writes: TokenBucket,
     reads: TokenBucket,
-    /// Write tokens that only claims may use.
+    /// Number of write tokens that only claims may use.
     write_reserve: f64,
-    /// Read tokens that only claims may use.
+    /// Number of read tokens that only claims may use.
     read_reserve: f64,
-    /// For configuration, where the share is too small for it.
+    /// Separate write budget for configuration; `None` if the node's share is large enough for it.
     config_writes: Option<TokenBucket>,
+    /// Separate read budget for configuration; `None` if the node's share is large enough for it.
     config_reads: Option<TokenBucket>,
 }
 
-/// Requests for configuration that a node may always send at once.
+/// Burst of configuration requests, reads and writes each, that a node may always send.
 const CONFIG_BURST_TOKENS: f64 = 4.0;
-/// Requests for configuration that it may always send in a second.
+/// Rate of configuration requests per second, reads and writes each, that a node may always send.
 const CONFIG_TOKENS_PER_S: f64 = 1.0;
-/// Part of the burst that is kept for claims.
+/// Share of the burst that is reserved for claims, 0 to 1.
 const CLAIM_RESERVE_SHARE: f64 = 0.5;
 
 impl RateBudget {
-    /// The budget of one of the nodes that share `share`.
+    /// Creates the budget of one of the nodes that use `share`.
     pub fn new(share: &RateShare) -> Self {
         let nodes = f64::from(share.nodes.max(1));
         let (writes, write_reserve) = bucket(share.writes_per_s / nodes, share.burst_s);
@@ -61,8 +62,8 @@
         Self { writes, reads, write_reserve, read_reserve, config_writes, config_reads }
     }
 
-    /// Takes one request from the budget. Gives the time to wait before it may be sent, or `None`,
-    /// taking nothing, where that is longer than `max_wait`.
+    /// Acquires a token for `request`. Returns the time to wait before it may be sent, or `None`, without acquiring a
+    /// token, if that is longer than `max_wait`.
     pub fn acquire(
         &mut self,
         now: MonotonicTime,
@@ -87,12 +88,12 @@
 
 fn bucket(rate: f64, burst_s: f64) -> (TokenBucket, f64) {
     let burst = (rate * burst_s).max(1.0);
-    // A burst of one token leaves nothing to reserve: the rest would never be served.
+    // With a burst of one token nothing is reserved, because other requests would otherwise never be served.
     let reserve = ((burst - 1.0) * CLAIM_RESERVE_SHARE).max(0.0);
     (TokenBucket::new(rate, burst), reserve)
 }
 
-/// A bucket of its own for configuration, unless the share holds as much.
+/// Creates a separate bucket for configuration; `None` if the node's share has a large enough rate or burst.
 fn config_bucket(rate: f64, burst_s: f64) -> Option<TokenBucket> {
     (rate * burst_s < CONFIG_BURST_TOKENS && rate < CONFIG_TOKENS_PER_S)
         .then(|| TokenBucket::new(CONFIG_TOKENS_PER_S, CONFIG_BURST_TOKENS))
--- a/crates/coltsfootroute/src/table/row_condition.rs
+++ b/crates/coltsfootroute/src/table/row_condition.rs
@@ -3,15 +3,15 @@
 use super::RowVersion;
 
 value_type! {
-    /// What must hold of a row for the transaction to take effect.
+    /// Condition on a row that must hold for the transaction to take effect.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum RowCondition {
-        /// There is no such row.
+        /// The row does not exist.
         Absent,
-        /// The row stands at this version.
+        /// The row exists with this version.
         Version(RowVersion),
-        /// Anything.
+        /// No condition.
         Any,
     }
 }
--- a/crates/coltsfootroute/src/table/row_version.rs
+++ b/crates/coltsfootroute/src/table/row_version.rs
@@ -1,7 +1,7 @@
 //! Version of a row.
 
 value_type! {
-    /// Version of a row: 1 when first written, one more with each write.
+    /// Version of a row: 1 after the first write, incremented with each further write.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(transparent)]
     pub struct RowVersion(pub u64);
--- a/crates/coltsfootroute/src/table/row_write.rs
+++ b/crates/coltsfootroute/src/table/row_write.rs
@@ -3,11 +3,11 @@
 use super::{RowCondition, RowKey};
 
 record_type! {
-    /// One write: put `value` under `key`, or delete the row where `value` is absent.
+    /// One write of a transaction: stores `value` under `key`, or deletes the row if `value` is `None`.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct RowWrite {
-        /// Row written.
+        /// Key of the written row.
         pub key: RowKey,
         /// Condition on the row before the write.
         pub condition: RowCondition,
--- a/crates/coltsfootroute/src/table/store_backoff.rs
+++ b/crates/coltsfootroute/src/table/store_backoff.rs
@@ -1,4 +1,4 @@
-//! Which requests to the table service are sent again, and when.
+//! Retry policy for requests to the table service.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use super::{TableReply, TableRequest};
 
 record_type! {
-    /// Bounded, jittered retry. A write without an answer is never sent again from here: only the
-    /// state machine that issued it knows how to read back its effect.
+    /// Bounded retries with a jittered exponential backoff. A write without a reply is never retried here, because only
+    /// the state machine that issued it knows how to read back its effect.
     pub struct StoreBackoff {
-        /// Times a request is sent at the most; at least 1.
+        /// Maximum number of attempts, including the first; at least 1.
         pub max_attempts: u32,
-        /// Longest pause before the second attempt; doubled with each further one.
+        /// Upper bound of the pause before the second attempt; doubles with each further attempt.
         pub initial_pause: Duration,
-        /// Longest pause at all.
+        /// Upper bound of any pause.
         pub max_pause: Duration,
     }
 }
@@ -30,8 +30,8 @@
 }
 
 impl StoreBackoff {
-    /// The pause before `request` is sent again after its attempt number `attempt` (from 1) gave
-    /// `reply`; `None` where that reply stands.
+    /// Returns the pause before `request` is retried after attempt number `attempt`, counted from 1, received `reply`.
+    /// `None` if it must not be retried.
     pub fn pause(
         &self,
         request: &TableRequest,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Whether sending again can't carry out a write twice.
+/// Returns whether `reply` calls for a retry that cannot execute a write twice.
 fn is_safe(request: &TableRequest, reply: &TableReply) -> bool {
     match reply {
         TableReply::Unavailable => true,
--- a/crates/coltsfootroute/src/table/store_health.rs
+++ b/crates/coltsfootroute/src/table/store_health.rs
@@ -1,12 +1,11 @@
-//! What an attempt says of the service.
+//! Health of the table service as indicated by one attempt.
 
 value_type! {
-    /// What one attempt showed of the service's health, as a
-    /// [`CircuitBreaker`](super::CircuitBreaker) counts it.
+    /// Health of the service as indicated by one attempt; recorded by a [`CircuitBreaker`](super::CircuitBreaker).
     pub enum StoreHealth {
-        /// It answered, be it with a conflict or a refusal by its rate limit.
+        /// The service answered, possibly with a conflict or with a refusal by its rate limit.
         Answering,
-        /// It refused for another reason, failed or gave no answer.
+        /// The service refused for another reason, failed or did not answer.
         Failing,
     }
 }
--- a/crates/coltsfootroute/src/table/store_use.rs
+++ b/crates/coltsfootroute/src/table/store_use.rs
@@ -1,29 +1,29 @@
-//! What a request to the table service is for.
+//! Purpose of a request to the table service.
 
 value_type! {
-    /// The purpose of a request, which decides its place in the node's [`RateBudget`](super::RateBudget).
+    /// Purpose of a request, which decides how it draws on the node's [`RateBudget`](super::RateBudget).
     pub enum StoreUse {
-        /// A claim: a caller waits for it.
+        /// Claim for which a caller waits.
         Claim,
-        /// The answer of a finished run.
+        /// Answer of a finished execution.
         Answer,
-        /// Configuration: a read or a submission.
+        /// Read or submission of configuration.
         Config,
-        /// A long question for changes of the configuration.
+        /// Long poll for changes of the configuration.
         ConfigFeed,
-        /// The rows by which newcomers find the node, and by which it finds its upstream again.
+        /// Rows through which new nodes discover this node, and through which it finds its upstream again.
         OwnRows,
-        /// Rows of others, read by a newcomer.
+        /// Scan of other nodes' rows by a new node.
         NodeScan,
-        /// Rows of one service of which no member is known.
+        /// Scan of the rows of a service without known members.
         MemberScan,
-        /// Requests that are held back, and their trials.
+        /// Quarantined requests and their trials.
         Quarantine,
     }
 }
 
 impl StoreUse {
-    /// All uses.
+    /// All purposes.
     pub const ALL: [Self; 8] = [
         Self::Claim,
         Self::Answer,
@@ -35,7 +35,7 @@
         Self::Quarantine,
     ];
 
-    /// The use's name in metric labels.
+    /// Returns the purpose's name in metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Claim => "claim",
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether a caller waits for the request.
+    /// Returns whether a caller waits for the request.
     pub fn is_urgent(self) -> bool {
         self == Self::Claim
     }
--- a/crates/coltsfootroute/src/table/stored_row.rs
+++ b/crates/coltsfootroute/src/table/stored_row.rs
@@ -1,9 +1,9 @@
-//! A row as stored.
+//! Row as stored by the table service.
 
 use super::{RowKey, RowVersion};
 
 record_type! {
-    /// A row as the table service holds it.
+    /// Row as stored by the table service.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct StoredRow {
--- a/crates/coltsfootroute/src/table/table_reply.rs
+++ b/crates/coltsfootroute/src/table/table_reply.rs
@@ -3,19 +3,19 @@
 use super::StoredRow;
 
 record_type! {
-    /// What came back for a [`TableRequest`](super::TableRequest).
+    /// Reply to a [`TableRequest`](super::TableRequest).
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum TableReply {
-        /// The rows read, in order of their keys; a read of an absent row gives none.
+        /// Rows that were read, in order of their keys; empty for a read of an absent row.
         Rows(Vec<StoredRow>),
         /// All writes of the transaction took effect.
         Committed,
-        /// No write took effect: a condition did not hold. Carries the rows in the way, as they are.
+        /// No write took effect, because a condition did not hold. Contains the current rows whose conditions failed.
         Conflict(Vec<StoredRow>),
-        /// The service provably did not carry out the request.
+        /// The service certainly did not execute the request.
         Unavailable,
-        /// No answer came: a write may or may not have taken effect.
+        /// No reply was received, so a write may or may not have taken effect.
         Uncertain,
     }
 }
--- a/crates/coltsfootroute/src/table/table_request.rs
+++ b/crates/coltsfootroute/src/table/table_request.rs
@@ -11,20 +11,20 @@
         Read(RowKey),
         /// Reads up to `limit` rows whose keys start with `prefix` and sort after `after`.
         Scan {
-            /// Common start of the keys.
+            /// Common prefix of the keys.
             prefix: String,
-            /// Last key of the page before; empty for the first page.
+            /// Last key of the previous page; empty for the first page.
             after: String,
-            /// Most rows to return.
+            /// Maximum number of rows to return.
             limit: usize,
         },
-        /// Carries out all writes, or none if a condition does not hold.
+        /// Executes all writes atomically, or none if a condition does not hold.
         Transact(Vec<RowWrite>),
     }
 }
 
 impl TableRequest {
-    /// Whether the request may change rows.
+    /// Returns whether the request may change rows.
     pub fn is_write(&self) -> bool {
         matches!(self, Self::Transact(_))
     }
--- a/crates/coltsfootroute/src/table/token_bucket.rs
+++ b/crates/coltsfootroute/src/table/token_bucket.rs
@@ -1,43 +1,44 @@
-//! A token bucket that lends against future refill.
+//! Token bucket that can lend tokens against future refill.
 
 use std::time::Duration;
 
 use crate::time::MonotonicTime;
 
 record_type! {
-    /// Tokens refilled at a steady rate up to a burst. A taker may be told to wait: its token is then
-    /// already taken from future refill, so takers are served in the order in which they asked.
+    /// Token bucket that is refilled at a constant rate up to a burst.
+    ///
+    /// A caller may have to wait for its token, which is then already deducted from future refill, so callers are
+    /// served in the order of their requests.
     pub struct TokenBucket {
-        /// Tokens a second; above 0.
-        rate: RateMilli,
-        /// Most tokens kept, in thousandths.
+        /// Refill rate; above 0.
+        rate: TokenRate,
+        /// Capacity in thousandths of a token.
         burst: i64,
-        /// Tokens at hand in thousandths; negative while tokens are lent.
+        /// Available tokens in thousandths; negative while tokens are lent.
         level: i64,
-        /// When `level` held.
+        /// Time to which `level` applies.
         refilled_at: MonotonicTime,
     }
 }
 
 value_type! {
-    /// A rate in thousandths of a token a second.
-    struct RateMilli(i64);
+    /// Rate in thousandths of a token per second.
+    struct TokenRate(i64);
 }
 
-/// Thousandths in one token.
 const THOUSANDTHS_PER_TOKEN: i64 = 1_000;
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
 impl TokenBucket {
-    /// A full bucket. `rate` is in tokens a second; `burst` is at least one token.
+    /// Creates a full bucket. `rate` is in tokens per second; a `burst` below one token counts as one.
     pub fn new(rate: f64, burst: f64) -> Self {
         let burst = ((burst * THOUSANDTHS_PER_TOKEN as f64) as i64).max(THOUSANDTHS_PER_TOKEN);
-        let rate = RateMilli(((rate * THOUSANDTHS_PER_TOKEN as f64) as i64).max(1));
+        let rate = TokenRate(((rate * THOUSANDTHS_PER_TOKEN as f64) as i64).max(1));
         Self { rate, burst, level: burst, refilled_at: MonotonicTime::ZERO }
     }
 
-    /// Takes a token and leaves at least `reserve` tokens. Gives the time to wait before the token may
-    /// be used, or `None`, taking nothing, where that is longer than `max_wait`.
+    /// Acquires a token, leaving at least `reserve` tokens. Returns the time to wait before the token may be used, or
+    /// `None`, without acquiring a token, if that is longer than `max_wait`.
     pub fn acquire(
         &mut self,
         now: MonotonicTime,
@@ -55,12 +56,12 @@
         Some(wait)
     }
 
-    /// The bucket without any token, as of `now`.
+    /// Returns the bucket with all tokens removed at `now`.
     pub fn emptied(self, now: MonotonicTime) -> Self {
         Self { level: 0, refilled_at: now, ..self }
     }
 
-    /// Takes up to `wanted` tokens; returns how many there were.
+    /// Acquires up to `wanted` available tokens and returns the number acquired.
     pub fn acquire_up_to(&mut self, now: MonotonicTime, wanted: u32) -> u32 {
         self.refill(now);
         let whole = u32::try_from(self.level / THOUSANDTHS_PER_TOKEN).unwrap_or_default();
@@ -69,18 +70,18 @@
         acquired
     }
 
-    /// Takes tokens that have been used already, if need be in advance: up to a full bucket.
+    /// Deducts tokens that have already been used. The level may become negative, down to minus the burst.
     pub fn charge(&mut self, now: MonotonicTime, used: u32) {
         self.refill(now);
         self.level = (self.level - i64::from(used) * THOUSANDTHS_PER_TOKEN).max(-self.burst);
     }
 
-    /// Time until there is a token, as of the last refill.
+    /// Returns the time from the last refill until a token is available.
     pub fn time_until_token(&self) -> Duration {
         self.refill_time((THOUSANDTHS_PER_TOKEN - self.level).max(0))
     }
 
-    /// Another rate and burst from `now` on; tokens beyond the burst are lost.
+    /// Changes the rate and the burst from `now` on; tokens beyond the new burst are lost.
     pub fn set_limits(&mut self, now: MonotonicTime, rate: f64, burst: f64) {
         self.refill(now);
         let Self { rate, burst, .. } = Self::new(rate, burst);
@@ -91,7 +92,7 @@
         let elapsed = i64::try_from(now.since(self.refilled_at).as_micros()).unwrap_or(i64::MAX);
         let refill = elapsed.saturating_mul(self.rate.0) / MICROS_PER_SECOND;
         if refill == 0 {
-            // Too short a time for a thousandth: keep the old time, so that the fraction isn't lost.
+            // The time is too short for a thousandth; keeping the old time preserves the fraction.
             return;
         }
         self.level = self.level.saturating_add(refill).min(self.burst);
