--- a/crates/coltsfootroute/tests/integration/retry.rs
+++ b/crates/coltsfootroute/tests/integration/retry.rs
@@ -1,4 +1,4 @@
-//! Retry accounts, policy and throttle.
+//! Retry accounts, retry policy and throttle.
 
 mod account_fuzz;
 mod guard_tracker;
--- a/crates/coltsfootroute/tests/integration/retry/account_fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/retry/account_fuzz.rs
@@ -1,5 +1,7 @@
-//! Stateful fuzzing of the retry account: askers anywhere in a call tree, a network that loses,
-//! repeats and reorders, a ledger that dies; against an oracle that is a plain set of ids.
+//! Stateful fuzzing of retry accounts against an oracle that is a plain set of ids.
+//!
+//! Callers anywhere in a call tree request tokens over a network that loses, duplicates and reorders messages, from a
+//! ledger that may restart without its accounts.
 
 use std::collections::BTreeSet;
 
@@ -14,19 +16,19 @@
 
 use crate::util::fuzz_config::fuzz_config;
 
-/// One step; an index picks among what there is, modulo its number.
+/// One step. An index selects one of the existing items, modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A client request comes in.
+    /// A client request arrives.
     Open {
         budget: u32,
         life_ms: u64,
     },
-    /// A nested call of an open request enters at the ingress node again.
+    /// A nested call of an open request arrives at the ingress node, which opens the account again.
     Reopen(usize),
-    /// A call somewhere in the tree failed: its caller asks for a token.
-    Ask(usize),
-    /// An asker that got no answer repeats its message.
+    /// A call somewhere in the tree failed, and its caller requests a token.
+    Request(usize),
+    /// A caller that received no answer repeats its message.
     Repeat(usize),
     Deliver(usize),
     Duplicate(usize),
@@ -52,21 +54,21 @@
 #[derive(Clone, Debug, Default)]
 struct Oracle {
     now_ms: u64,
-    /// Budget of every request that there ever was.
+    /// Budgets of all requests, including closed and expired ones.
     budgets: IndexMap<u128, u32>,
     open: IndexMap<u128, OracleAccount>,
     network: Vec<Message>,
-    /// Askers without an answer.
+    /// Token ids that have not been answered yet, with their requests.
     waiting: IndexMap<u64, u128>,
     next_id: u64,
-    /// The message that the last step delivered.
+    /// Message delivered in the last step.
     delivered: Option<Message>,
 }
 
 const MARGIN_MS: u64 = 1_000;
 
 impl Oracle {
-    fn ask(&mut self, request: u128) {
+    fn request_token(&mut self, request: u128) {
         self.next_id += 1;
         self.waiting.insert(self.next_id, request);
         self.network.push(Message::Take { request, id: self.next_id });
@@ -96,9 +98,9 @@
             Message::Answer { request, id, granted } => {
                 let waited = self.waiting.swap_remove(&id).is_some();
                 if waited && granted {
-                    // The retry runs a subtree of its own, in which two more calls fail.
-                    self.ask(request);
-                    self.ask(request);
+                    // The retry runs its own subtree of calls, in which two more fail.
+                    self.request_token(request);
+                    self.request_token(request);
                 }
             }
         }
@@ -121,7 +123,7 @@
         prop_oneof![
             2 => (0..4u32, 1..500u64).prop_map(|(budget, life_ms)| Step::Open { budget, life_ms }),
             1 => any::<usize>().prop_map(Step::Reopen),
-            4 => any::<usize>().prop_map(Step::Ask),
+            4 => any::<usize>().prop_map(Step::Request),
             2 => any::<usize>().prop_map(Step::Repeat),
             12 => any::<usize>().prop_map(Step::Deliver),
             3 => any::<usize>().prop_map(Step::Duplicate),
@@ -144,9 +146,9 @@
                 state.open.insert(request, account);
             }
             Step::Reopen(_) => {}
-            Step::Ask(index) => {
+            Step::Request(index) => {
                 if let Some(index) = pick(index, state.budgets.len()) {
-                    state.ask(index as u128);
+                    state.request_token(index as u128);
                 }
             }
             Step::Repeat(index) => {
@@ -188,7 +190,7 @@
 
 struct LedgerUnderTest {
     ledger: AccountLedger,
-    /// Ids of the retries that ran, by request: what the bound is about.
+    /// Number of retries sent by each request, which the budget bounds.
     retries: IndexMap<u128, u32>,
     waiting: BTreeSet<u64>,
 }
@@ -198,7 +200,7 @@
 }
 
 impl LedgerUnderTest {
-    /// The asker acts on the ledger's own answer, not on the oracle's.
+    /// Acquires a token and counts the retry. Relies on the ledger's answer, not on the oracle's.
     fn acquire(&mut self, now: MonotonicTime, request: u128, id: u64) -> bool {
         let granted = self.ledger.acquire(now, RequestId(request), id) == AcquireResult::Granted;
         if granted && self.waiting.insert(id) {
@@ -238,7 +240,7 @@
                     let granted = state.acquire(now, request, id);
                     let Some(Message::Answer { granted: expected, .. }) = oracle.network.last()
                     else {
-                        panic!("a delivered take has an answer");
+                        panic!("a delivered token request has an answer");
                     };
                     assert_eq!(granted, *expected, "request {request}, id {id}");
                 }
@@ -249,8 +251,11 @@
                 }
             }
             Step::Restart => state.ledger = new_ledger(),
-            Step::Ask(_) | Step::Repeat(_) | Step::Duplicate(_) | Step::Lose(_) | Step::Wait(_) => {
-            }
+            Step::Request(_)
+            | Step::Repeat(_)
+            | Step::Duplicate(_)
+            | Step::Lose(_)
+            | Step::Wait(_) => {}
         }
         state
     }
--- a/crates/coltsfootroute/tests/integration/retry/guard_tracker.rs
+++ b/crates/coltsfootroute/tests/integration/retry/guard_tracker.rs
@@ -1,4 +1,4 @@
-//! When calls may have moved from one guard of a service to another.
+//! Detection of changes after which calls may have moved from one guard of a service to another.
 
 use coltsfootroute::{
     id::{Incarnation, NodeId},
@@ -10,19 +10,19 @@
 
 const LATER: MonotonicTime = MonotonicTime::from_millis(60_000);
 
-/// A member in some life; the lives of a node are numbered.
-fn member(port: u16, life: u64) -> MemberRecord {
+/// Creates a member with the given incarnation number.
+fn member(port: u16, incarnation: u64) -> MemberRecord {
     let node = NodeId(([127, 0, 0, 1], port).into());
     let (domain, region) = (DomainName::new("dar-a"), RegionName::new("dar"));
-    MemberRecord::new(node, Incarnation(life), domain, region)
+    MemberRecord::new(node, Incarnation(incarnation), domain, region)
 }
 
 fn dead(port: u16) -> MemberRecord {
     MemberRecord { state: MemberState::Dead, ..member(port, 1) }
 }
 
-/// A tracker that has long known two guards.
-fn settled() -> GuardTracker {
+/// Creates a tracker that knows two guards since after the start of the deployment.
+fn settled_tracker() -> GuardTracker {
     let mut tracker = GuardTracker::new(false);
     tracker.update(LATER, &[member(1, 1), member(2, 1)]);
     tracker
@@ -30,26 +30,26 @@
 
 #[test]
 fn the_same_guards_in_another_order_are_no_change() {
-    let mut tracker = settled();
+    let mut tracker = settled_tracker();
 
     assert!(!tracker.update(LATER, &[member(2, 1), member(1, 1)]));
 }
 
 #[test]
-fn a_guard_that_has_gone_come_or_begun_anew_is_a_change() {
+fn a_guard_that_has_left_joined_or_restarted_is_a_change() {
     for members in [
         vec![member(1, 1), dead(2)],
         vec![member(1, 1), member(2, 1), member(3, 1)],
         vec![member(1, 1), member(2, 2)],
     ] {
-        let mut tracker = settled();
+        let mut tracker = settled_tracker();
 
         assert!(tracker.update(LATER, &members), "{members:?}");
     }
 }
 
 #[test]
-fn guards_that_start_with_the_deployment_have_had_no_calls() {
+fn guards_that_start_with_the_deployment_are_no_change() {
     let mut tracker = GuardTracker::new(true);
 
     let at_start = tracker.update(MonotonicTime::from_millis(500), &[member(1, 1)]);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_guard_that_starts_alone_may_have_had_calls_in_an_earlier_life() {
+fn a_guard_that_starts_alone_may_have_received_calls_in_an_earlier_incarnation() {
     let mut tracker = GuardTracker::new(false);
 
     assert!(tracker.update(MonotonicTime::from_millis(500), &[member(1, 1)]));
--- a/crates/coltsfootroute/tests/integration/retry/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/retry/scenarios.rs
@@ -40,7 +40,7 @@
         match case.directive.as_str() {
             "time" => self.now = MonotonicTime::from_millis(case.take_arg("ms").unwrap()),
             "open" => return self.open(case),
-            "take" => return self.take(case),
+            "take" => return self.acquire(case),
             "close" => self.ledger.close(request(case)),
             "restart" => self.ledger = fixture().ledger,
             "granted" => return format!("{:?}\n", self.ledger.granted(request(case))),
@@ -68,7 +68,7 @@
         format!("{text}\n")
     }
 
-    fn take(&mut self, case: &mut TestCase) -> String {
+    fn acquire(&mut self, case: &mut TestCase) -> String {
         let token_id = case.take_arg("id").unwrap();
         match self.ledger.acquire(self.now, request(case), token_id) {
             AcquireResult::Granted => "granted\n".to_owned(),
--- a/crates/coltsfootroute/tests/integration/retry/shared_bound.rs
+++ b/crates/coltsfootroute/tests/integration/retry/shared_bound.rs
@@ -1,8 +1,9 @@
-//! Pattern: repeats at a service whose guards come and go.
+//! Pattern: repeats at a service whose guards join and leave.
 //!
-//! Each guard bounds the repeats that reach its upstream by what it has seen itself. The promise is one for all of them: in
-//! any ten seconds the service gets no more repeats than a fifth of its requests and some that are free, where the requests
-//! are those of these ten seconds, of the ten before or of the ten that began five seconds earlier, whichever has most.
+//! Each guard bounds the repeats that reach its upstream by the calls that it has received itself. The guarantee
+//! applies to the service as a whole: in any ten seconds it receives at most a fifth of its requests plus a free
+//! allowance as repeats. The requests that count are those of these ten seconds, of the ten seconds before or of the
+//! ten seconds that began five seconds earlier, whichever are most.
 
 use std::time::Duration;
 
@@ -14,18 +15,21 @@
 use rand::{Rng, RngExt, SeedableRng, seq::IteratorRandom};
 use rand_pcg::Pcg64;
 
-/// The promise: share of the requests, what is free beyond it, and the window.
+/// Guaranteed maximum ratio of repeats to requests.
 const RATIO: f64 = 0.2;
+/// Number of repeats that are allowed beyond the ratio in any window.
 const FREE: f64 = 48.0;
+/// Length of the window in milliseconds.
 const WINDOW: u64 = 10_000;
-/// What calls earn at a guard, as on the platform.
+/// Thousandths of a retry that a call earns at a guard, as on the platform.
 const PER_CALL_THOUSANDTHS: u64 = 160;
 const SEEDS: u64 = 100;
+/// Length of a run in milliseconds.
 const RUN: u64 = 60_000;
-/// How long after guards have gone the others know of it.
+/// Time in milliseconds after which the other guards are notified of guards that are away.
 const NOTICED_AFTER: u64 = 1_500;
-/// Retries of one request at most.
-const MOST_RETRIES: usize = 5;
+/// Maximum number of retries of one request.
+const MAX_RETRIES: usize = 5;
 
 fn settings() -> ThrottleSettings {
     ThrottleSettings {
@@ -36,44 +40,46 @@
     }
 }
 
-/// A guard, and the time until which it takes nothing.
+/// A guard, and the time in milliseconds until which it receives no calls.
 struct Guard {
     throttle: ServiceThrottle,
     away_until: u64,
 }
 
-/// A service under attack: every attempt is rejected with `rejected`, and its guards are harmed every other second.
+/// A service under fault injection: each attempt is rejected with probability `rejected`, and some guards fail every
+/// two seconds.
 struct Service {
     guards: Vec<Guard>,
     rejected: f64,
-    /// How long a repeat that was granted waits for a slot, at most, in milliseconds.
-    longest_wait: u64,
-    /// Milliseconds at which requests came and repeats reached an upstream.
+    /// Longest time in milliseconds for which a granted repeat waits for a slot.
+    max_wait: u64,
+    /// Times in milliseconds at which requests arrived.
     requests: Vec<u64>,
+    /// Times in milliseconds at which repeats reached an upstream.
     repeats: Vec<u64>,
 }
 
 impl Service {
-    fn new(guards: usize, rejected: f64, longest_wait: u64) -> Self {
+    fn new(guards: usize, rejected: f64, max_wait: u64) -> Self {
         let guards = (0..guards)
             .map(|_| Guard { throttle: ServiceThrottle::new(at(0), settings()), away_until: 0 })
             .collect();
-        Self { guards, rejected, longest_wait, requests: Vec::new(), repeats: Vec::new() }
+        Self { guards, rejected, max_wait, requests: Vec::new(), repeats: Vec::new() }
     }
 
     fn request(&mut self, millis: u64, rng: &mut impl Rng) {
         self.requests.push(millis);
         let mut tried = Vec::new();
-        for attempt in 0..=MOST_RETRIES {
-            let there =
+        for attempt in 0..=MAX_RETRIES {
+            let reachable =
                 |index: &usize| self.guards[*index].away_until <= millis && !tried.contains(index);
-            let Some(index) = (0..self.guards.len()).filter(there).choose(rng) else { return };
+            let Some(index) = (0..self.guards.len()).filter(reachable).choose(rng) else { return };
             tried.push(index);
             let throttle = &mut self.guards[index].throttle;
             if attempt == 0 {
                 throttle.record_call(at(millis));
             } else if throttle.try_retry(at(millis), Importance::Normal) {
-                self.repeats.push(millis + rng.random_range(0..=self.longest_wait));
+                self.repeats.push(millis + rng.random_range(0..=self.max_wait));
             } else {
                 return;
             }
@@ -83,28 +89,28 @@
         }
     }
 
-    /// Some guards are away for a while, and know nothing when they are back.
-    fn harm(&mut self, millis: u64, rng: &mut impl Rng) {
+    /// Makes some guards unreachable for a while. In half of the cases they restart and lose their counts.
+    fn fail_guards(&mut self, millis: u64, rng: &mut impl Rng) {
         let count = rng.random_range(0..self.guards.len());
-        let lasts = rng.random_range(500..8_000);
-        let forgets = rng.random_bool(0.5);
+        let duration = rng.random_range(500..8_000);
+        let restarts = rng.random_bool(0.5);
         for guard in self.guards.iter_mut().sample(rng, count) {
-            guard.away_until = millis + lasts;
-            if forgets {
+            guard.away_until = millis + duration;
+            if restarts {
                 guard.throttle = ServiceThrottle::new(at(guard.away_until), settings());
                 guard.throttle.record_guard_change(at(guard.away_until));
             }
         }
     }
 
-    /// All guards hear of what has come and gone, some time after.
-    fn tell_guards(&mut self, millis: u64) {
+    /// Notifies all guards that other guards have joined or left.
+    fn notify_guards(&mut self, millis: u64) {
         for guard in &mut self.guards {
             guard.throttle.record_guard_change(at(millis));
         }
     }
 
-    /// The window with most repeats beyond the promise, and by how many.
+    /// Returns the end of the window with most repeats beyond the guarantee, and their number.
     fn worst_excess(&mut self) -> (u64, f64) {
         self.repeats.sort_unstable();
         let ends = (WINDOW..RUN).step_by(100);
@@ -124,15 +130,15 @@
     MonotonicTime::ZERO + Duration::from_millis(millis)
 }
 
-/// How many of `times` lie in the window that ends at `end`.
+/// Returns how many of `times` are in the window that ends at `end`.
 fn count(times: &[u64], end: u64) -> usize {
     let begin = end.saturating_sub(WINDOW);
     times.partition_point(|time| *time < end) - times.partition_point(|time| *time < begin)
 }
 
-/// Guards against repeats that pile up since each guard bounds them by its own calls, and these move from one to another.
+/// Guards against an excess of repeats when calls move between guards, each of which bounds repeats by its own calls.
 #[test]
-fn repeats_of_a_service_keep_to_the_bound_while_its_guards_come_and_go() {
+fn repeats_of_a_service_stay_within_the_bound_while_guards_join_and_leave() {
     let mut worst = Vec::new();
     for seed in 0..SEEDS {
         let mut rng = Pcg64::seed_from_u64(seed);
@@ -141,10 +147,10 @@
         let each_step = rng.random_range(1..=4);
         for millis in (0..RUN).step_by(10) {
             if millis % 2_000 == 0 {
-                service.harm(millis, &mut rng);
+                service.fail_guards(millis, &mut rng);
             }
             if millis % 2_000 == NOTICED_AFTER {
-                service.tell_guards(millis);
+                service.notify_guards(millis);
             }
             (0..each_step).for_each(|_| service.request(millis, &mut rng));
         }
--- a/crates/coltsfootroute/tests/integration/retry/throttle.rs
+++ b/crates/coltsfootroute/tests/integration/retry/throttle.rs
@@ -1,4 +1,4 @@
-//! Repeats that cannot be helped are paid back before a retry is granted.
+//! Limits of the retry throttle, with a token bucket and with a window.
 
 use std::ops::Range;
 
@@ -23,13 +23,13 @@
     }
 }
 
-/// Saves up what the calls of ten seconds have earned.
-fn saving_throttle() -> ServiceThrottle {
+/// Creates a throttle with a window of ten seconds.
+fn window_throttle() -> ServiceThrottle {
     ServiceThrottle::new(START, ThrottleSettings { window_seconds: 10, ..settings() })
 }
 
-/// Calls at 100 a second in the given seconds; after each in `failing` a retry is tried. Gives the
-/// milliseconds at which retries were granted.
+/// Makes 100 calls per second for `seconds`, each of which is followed by an attempt to retry in the `failing` seconds.
+/// Returns the times in milliseconds at which retries were granted.
 fn granted(throttle: &mut ServiceThrottle, seconds: u64, failing: Range<u64>) -> Vec<u64> {
     let mut granted = Vec::new();
     for millis in (0..seconds * 1_000).step_by(10) {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn charged_repeats_use_up_what_was_saved() {
+fn charged_repeats_use_up_the_burst() {
     let mut throttle = throttle();
 
     throttle.charge(START);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn charged_repeats_are_paid_back_by_calls() {
+fn charged_repeats_are_compensated_by_calls() {
     let mut throttle = throttle();
     for _ in 0..3 {
         throttle.charge(START);
@@ -66,18 +66,18 @@
     throttle.record_call(START);
     let after = throttle.try_retry(START, Importance::Normal);
 
-    assert!(!before, "19 calls pay for 1.9 repeats, and one is owed");
+    assert!(!before, "19 calls earn 1.9 repeats, of which one was already charged in advance");
     assert!(after);
 }
 
 #[test]
-fn retries_and_charged_repeats_together_keep_to_the_share_of_the_calls() {
+fn retries_and_charged_repeats_together_stay_within_the_share_of_the_calls() {
     let mut throttle = throttle();
     let mut repeats = 0;
 
     for call in 0..10_000 {
         throttle.record_call(START);
-        // Every fifteenth call is nested below work that is run again; each tenth call fails.
+        // Every fifteenth call is nested below a call that is executed again; every tenth call fails.
         if call % 15 == 0 {
             throttle.charge(START);
             repeats += 1;
@@ -89,18 +89,18 @@
 }
 
 #[test]
-fn what_calm_seconds_have_earned_is_there_when_calls_fail() {
-    let mut throttle = saving_throttle();
+fn retries_earned_before_a_failure_are_available_when_calls_fail() {
+    let mut throttle = window_throttle();
 
     let granted = granted(&mut throttle, 14, 12..14);
 
-    // The thousand calls of ten seconds earn a hundred, for the calm seconds and the bad ones together.
+    // The thousand calls of ten seconds earn a hundred retries, for seconds with and without failures together.
     assert!((90..=100).contains(&granted.len()), "{}", granted.len());
 }
 
 #[test]
 fn in_any_ten_seconds_at_most_their_earnings_are_spent() {
-    let mut throttle = saving_throttle();
+    let mut throttle = window_throttle();
 
     let granted = granted(&mut throttle, 60, 12..60);
 
@@ -113,7 +113,7 @@
 
 #[test]
 fn charged_repeats_count_in_the_window_like_retries() {
-    let mut throttle = saving_throttle();
+    let mut throttle = window_throttle();
     granted(&mut throttle, 10, 0..0);
     let now = MonotonicTime::from_millis(9_990);
 
@@ -122,12 +122,12 @@
     }
     let granted = (0..100).filter(|_| throttle.try_retry(now, Importance::Normal)).count();
 
-    assert_eq!(granted, 5, "a hundred are earned");
+    assert_eq!(granted, 5, "a hundred retries are earned");
 }
 
 #[test]
-fn a_retry_given_back_may_be_granted_again() {
-    let mut throttle = saving_throttle();
+fn a_refunded_retry_may_be_granted_again() {
+    let mut throttle = window_throttle();
     let first = [
         throttle.try_retry(START, Importance::Normal),
         throttle.try_retry(START, Importance::Normal),
@@ -145,8 +145,8 @@
 }
 
 #[test]
-fn savings_are_lost_with_the_calls_that_earned_them() {
-    let mut throttle = saving_throttle();
+fn earned_retries_expire_with_the_calls_that_earned_them() {
+    let mut throttle = window_throttle();
     granted(&mut throttle, 10, 0..0);
 
     let late = MonotonicTime::from_millis(60_000);
@@ -157,9 +157,9 @@
 }
 
 #[test]
-fn calls_of_the_window_before_earn_as_well() {
-    let mut throttle = saving_throttle();
-    // A thousand calls in ten seconds, then ten seconds in which hardly any are made.
+fn calls_of_the_previous_window_earn_retries_as_well() {
+    let mut throttle = window_throttle();
+    // A thousand calls in ten seconds, followed by eight seconds without calls.
     granted(&mut throttle, 10, 0..0);
 
     let now = MonotonicTime::from_millis(18_000);
@@ -169,12 +169,12 @@
 }
 
 #[test]
-fn a_less_important_retry_waits_until_more_important_ones_have_what_they_ask_for() {
-    let mut throttle = saving_throttle();
+fn a_less_important_retry_is_denied_while_more_important_ones_need_the_budget() {
+    let mut throttle = window_throttle();
     granted(&mut throttle, 10, 0..0);
     let high = Importance::Critical;
     let low = Importance::Background;
-    // A hundred are earned. Ten a second of higher importance are a hundred in a window.
+    // A hundred retries are earned. Ten requests per second of higher importance add up to a hundred in a window.
     for millis in (10_000..12_000).step_by(100) {
         throttle.try_retry(MonotonicTime::from_millis(millis), high);
     }
--- a/crates/coltsfootroute/tests/integration/route_table.rs
+++ b/crates/coltsfootroute/tests/integration/route_table.rs
@@ -1,4 +1,4 @@
-//! Requests find their operation by host and path, and split routes keep their shares.
+//! Requests are mapped to operations by host and path, and split routes keep their shares.
 
 use coltsfootroute::{
     name::OperationName,
@@ -67,7 +67,7 @@
 
     for run in archived.windows(300) {
         let share = run.iter().filter(|archived| **archived).count();
-        assert!((27..=33).contains(&share), "{share} of 300, 30 are due");
+        assert!((27..=33).contains(&share), "{share} of 300, 30 are expected");
     }
 }
 
--- a/crates/coltsfootroute/tests/integration/routing/departing.rs
+++ b/crates/coltsfootroute/tests/integration/routing/departing.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave are asked only where no other takes a call, and not for long.
+//! Leaving upstreams are tried only if no other upstream accepts a call, and only for a short time.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A pool in which every upstream of `leaving` leaves from `now` on.
+/// Creates a pool of upstreams, given by number and by whether they are leaving from `now` on.
 fn pool(now: MonotonicTime, leaving: &[(u16, bool)]) -> UpstreamPool {
     let mut pool = UpstreamPool::new(
         DomainName::new("dar-a"),
@@ -40,7 +40,7 @@
 const START: MonotonicTime = MonotonicTime::ZERO;
 
 #[test]
-fn an_upstream_that_leaves_is_never_an_ordinary_choice() {
+fn a_leaving_upstream_is_never_an_ordinary_choice() {
     let mut pool = pool(START, &[(1, true)]);
 
     assert_eq!(pool.choose(START, &mut Pcg64::seed_from_u64(7), &[]), None);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_upstream_that_has_refused_as_leaving_is_not_asked_again() {
+fn an_upstream_that_has_refused_as_leaving_is_not_tried_again() {
     let mut pool = pool(START, &[(1, true)]);
 
     pool.started(START, node(1));
@@ -58,18 +58,18 @@
 }
 
 #[test]
-fn an_upstream_that_left_a_while_ago_is_not_asked() {
+fn an_upstream_that_has_been_leaving_for_long_is_not_tried() {
     let mut pool = pool(START, &[(1, true)]);
     let later = START + Duration::from_secs(5);
 
-    // Membership says so again, and again.
+    // A repeated report of the leave does not restart the time.
     pool.update(later, [info(1, true)]);
 
     assert_eq!(pool.choose_departing(later, &[]), None);
 }
 
 #[test]
-fn the_departing_upstream_with_the_fewest_calls_is_asked_and_none_that_was_tried() {
+fn the_leaving_upstream_with_the_fewest_calls_is_chosen_and_none_that_was_tried() {
     let mut pool = pool(START, &[(1, true), (2, true), (3, false)]);
     pool.started(START, node(1));
 
--- a/crates/coltsfootroute/tests/integration/routing/domain_preference.rs
+++ b/crates/coltsfootroute/tests/integration/routing/domain_preference.rs
@@ -1,9 +1,9 @@
-//! Pattern: upstreams that differ in speed, one in each failure domain.
+//! Pattern: upstreams of different speed, one in each failure domain.
 //!
-//! What leaves the domain costs the link between domains; what stays on a slow upstream costs its caller time. A call
-//! with time to spare stays; one whose time would hold for few more than one run goes to the faster upstream. Grounds
-//! of the figures: upstreams of one service differ by up to 2.5 times in speed, and in a tail of one in a hundred calls
-//! a run takes some four times the mean.
+//! A call that leaves the domain uses bandwidth between domains; a call that stays on a slow upstream costs its caller
+//! time. A call with time to spare stays. A call whose remaining time is enough for little more than one execution
+//! goes to the faster upstream. Basis of the figures: upstreams of one service differ in speed by a factor of up to
+//! 2.5, and one execution in a hundred takes about four times the mean.
 
 use std::time::Duration;
 
@@ -40,8 +40,8 @@
     }
 }
 
-/// A caller in domain 0 that has learnt the latencies, in milliseconds, of the upstream in its own domain and of that
-/// in another.
+/// Creates the pool of a caller in domain 0 that has measured the given latencies, in milliseconds, of the upstream in
+/// its own domain and of the one in another domain.
 fn fixture(own_ms: u64, other_ms: u64) -> DomainFixture {
     let settings = RoutingSettings::default().with_slow_start(Duration::ZERO);
     let own = DomainName::new("domain-0");
@@ -58,7 +58,7 @@
     DomainFixture { pool, rng: Pcg64::seed_from_u64(1) }
 }
 
-/// Share of calls with `time_left` that leave the domain.
+/// Returns the share of calls with `time_left` that leave the domain, 0 to 1.
 fn share_leaving(fixture: &mut DomainFixture, time_left: Duration) -> f64 {
     let now = MonotonicTime::from_millis(200);
     let mut left = 0;
@@ -75,7 +75,7 @@
 
     let leaving = share_leaving(&mut fixture, Duration::from_secs(5));
 
-    assert_eq!(leaving, 0.0, "four times as slow, with time for sixty runs");
+    assert_eq!(leaving, 0.0, "four times as slow, with time for sixty executions");
 }
 
 #[test]
@@ -84,11 +84,11 @@
 
     let leaving = share_leaving(&mut fixture, Duration::from_millis(300));
 
-    assert_eq!(leaving, 1.0, "four times as slow, with time for less than four runs");
+    assert_eq!(leaving, 1.0, "four times as slow, with time for fewer than four executions");
 }
 
 #[test]
-fn upstreams_of_usual_differences_keep_their_domains_calls() {
+fn upstreams_with_usual_differences_in_speed_keep_the_calls_of_their_domain() {
     let mut fixture = fixture(50, 20);
 
     let leaving = share_leaving(&mut fixture, Duration::from_millis(300));
--- a/crates/coltsfootroute/tests/integration/routing/pool_fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/routing/pool_fuzz.rs
@@ -1,4 +1,4 @@
-//! Random calls, results and membership: the pool's invariants hold after every step.
+//! Random calls, results and membership updates: the pool's invariants hold after every step.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 enum Step {
     Call,
     Finish(usize, RouteResult, u64),
-    /// Membership: for each of six upstreams whether it is named, leaving, or a new life.
+    /// Membership update: for each of six upstreams whether it is listed, leaving and in a new incarnation.
     Update(Vec<(bool, bool, bool)>),
     Wait(u64),
 }
@@ -53,8 +53,8 @@
     in_flight: Vec<NodeId>,
     ejections: u64,
     incarnations: [u64; MEMBERS],
-    /// What membership says of each member: named, leaving.
-    named: [(bool, bool); MEMBERS],
+    /// Whether membership lists each member, and whether it is leaving.
+    listed: [(bool, bool); MEMBERS],
 }
 
 fn fixture() -> PoolFixture {
@@ -67,7 +67,7 @@
         in_flight: Vec::new(),
         ejections: 0,
         incarnations: [1_000; MEMBERS],
-        named: [(true, false); MEMBERS],
+        listed: [(true, false); MEMBERS],
     };
     fixture.update(&[(true, false, false); MEMBERS]);
     fixture
@@ -92,17 +92,17 @@
         let Some(node) = self.pool.choose(self.now, &mut self.rng, &[]) else { return };
         let chosen = before.upstreams.iter().find(|upstream| upstream.node == node).unwrap();
         assert_ne!(chosen.phase, UpstreamPhase::Leaving);
-        assert!(self.named[usize::from(node.0.port())].0, "{node} is no longer a member");
+        assert!(self.listed[usize::from(node.0.port())].0, "{node} is no longer a member");
         self.pool.started(self.now, node);
         self.in_flight.push(node);
     }
 
     fn update(&mut self, members: &[(bool, bool, bool)]) {
         let mut infos = Vec::new();
-        for (index, &(named, leaving, new_life)) in members.iter().enumerate() {
-            self.incarnations[index] += if new_life { 10_000 } else { 0 };
-            self.named[index] = (named, leaving);
-            if named {
+        for (index, &(listed, leaving, is_restarted)) in members.iter().enumerate() {
+            self.incarnations[index] += if is_restarted { 10_000 } else { 0 };
+            self.listed[index] = (listed, leaving);
+            if listed {
                 infos.push(self.info(index, leaving));
             }
         }
@@ -130,21 +130,21 @@
             assert!(upstream.in_flight <= upstream.share.0);
         }
         let live = status.upstreams.iter().filter(|upstream| {
-            let named = self.named[usize::from(upstream.node.0.port())].0;
-            named && upstream.phase != UpstreamPhase::Leaving
+            let listed = self.listed[usize::from(upstream.node.0.port())].0;
+            listed && upstream.phase != UpstreamPhase::Leaving
         });
         let ejected = live.clone().filter(|upstream| is_ejected(upstream.phase)).count();
         if status.ejections > self.ejections {
-            let most = RoutingSettings::default().max_ejected(live.clone().count());
-            assert!(ejected <= most, "{ejected} ejected, at most {most}");
+            let max = RoutingSettings::default().max_ejected(live.clone().count());
+            assert!(ejected <= max, "{ejected} ejected, at most {max}");
         }
         self.ejections = status.ejections;
         let has_capacity = live.clone().any(|upstream| upstream.in_flight < upstream.share.0);
-        let some_serve = live.clone().any(|upstream| !is_ejected(upstream.phase));
-        let room_to_serve = live
+        let any_serving = live.clone().any(|upstream| !is_ejected(upstream.phase));
+        let serving_has_capacity = live
             .clone()
             .any(|upstream| !is_ejected(upstream.phase) && upstream.in_flight < upstream.share.0);
-        let must_choose = room_to_serve || (!some_serve && has_capacity);
+        let must_choose = serving_has_capacity || (!any_serving && has_capacity);
         let choice = self.pool.choose(self.now, &mut self.rng, &[]);
         assert!(choice.is_some() || !must_choose, "{status:?}");
         assert_eq!(self.pool.is_empty(), live.count() == 0);
--- a/crates/coltsfootroute/tests/integration/routing/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/routing/scenarios.rs
@@ -18,7 +18,7 @@
     now: MonotonicTime,
     pool: UpstreamPool,
     rng: Pcg64,
-    /// How the upstreams that do not just answer in 10 ms behave.
+    /// Latency and result of the upstreams that do not behave like [`USUAL`].
     behaviours: IndexMap<NodeId, (Duration, RouteResult)>,
 }
 
@@ -58,7 +58,8 @@
         self.behaviours.insert(take_node(case), (latency, result));
     }
 
-    /// Calls, each `gap` after the one before and finished at once unless they are held.
+    /// Starts `count` calls, each `gap` milliseconds after the previous one. Finishes each one immediately unless
+    /// `hold` is given.
     fn calls(&mut self, case: &mut TestCase) -> String {
         let count: u32 = case.take_arg("count").unwrap();
         let gap = Duration::from_millis(case.try_take_arg("gap").unwrap().unwrap_or(10));
@@ -116,7 +117,7 @@
     }
 }
 
-/// A line such as `3 b r 1000 leaving`: node, failure domain, region, incarnation, flags.
+/// Parses a line such as `3 b r 1000 leaving`: node, failure domain, region, incarnation, flags.
 fn upstream_info(line: &str) -> UpstreamInfo {
     let words: Vec<_> = line.split_whitespace().collect();
     UpstreamInfo {
--- a/crates/coltsfootroute/tests/integration/store_policy.rs
+++ b/crates/coltsfootroute/tests/integration/store_policy.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn open_breaker_lets_one_probe_through() {
+fn open_breaker_admits_one_probe() {
     let mut breaker = open_breaker(&mut rng());
 
     assert!(!breaker.admit(at(1)));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn failed_probes_lengthen_the_pause_up_to_its_bound() {
+fn failed_probes_lengthen_the_open_time_up_to_its_maximum() {
     let mut rng = rng();
     let mut breaker = open_breaker(&mut rng);
 
@@ -83,13 +83,13 @@
         assert!(breaker.admit(now));
         breaker.record(now, StoreHealth::Failing, &mut rng);
         let BreakerState::Open(until) = breaker.state() else { panic!("{:?}", breaker.state()) };
-        assert!(until >= now + Duration::from_millis(100), "half of the longest at the least");
+        assert!(until >= now + Duration::from_millis(100), "at least half of the maximum");
         assert!(until <= now + Duration::from_millis(200));
     }
 }
 
 #[test]
-fn lost_probe_makes_room_for_the_next() {
+fn lost_probe_times_out_and_allows_the_next() {
     let mut breaker = open_breaker(&mut rng());
     assert!(breaker.admit(at(100)));
 
@@ -111,7 +111,7 @@
 
     let (writes, reads) = (count(&write()), count(&read()));
 
-    // Ten seconds at the rate, and the burst once.
+    // Ten seconds at the rate plus one burst.
     assert!(writes * 12.0 <= share.writes_per_s * (10.0 + share.burst_s) + 12.0, "{writes}");
     assert!(writes * 12.0 >= share.writes_per_s * 9.0, "{writes}");
     assert!(reads * 12.0 <= share.reads_per_s * (10.0 + share.burst_s) + 12.0, "{reads}");
@@ -129,11 +129,11 @@
     assert_eq!(drain(StoreUse::Claim), 5);
 }
 
-/// A submission takes three reads and a write; the next may come seconds later.
+/// A submission needs three reads and a write; the next one may follow seconds later.
 #[rstest]
 #[case(2_000)]
 #[case(18_000)]
-fn many_nodes_leave_each_enough_for_a_change_of_configuration(#[case] nodes: u32) {
+fn each_of_many_nodes_has_enough_budget_for_a_change_of_configuration(#[case] nodes: u32) {
     let share = RateShare { nodes, ..RateShare::default() };
     let mut budget = RateBudget::new(&share);
     let mut take = |millis, request: &TableRequest, store_use| {
@@ -146,8 +146,8 @@
         assert_eq!((reads, take(now, &write(), StoreUse::Config)), (3, true));
     }
 
-    assert!(take(0, &write(), StoreUse::Claim), "one claim of its own share");
-    assert!(!take(2_000, &write(), StoreUse::Claim), "and no more for long");
+    assert!(take(0, &write(), StoreUse::Claim), "its share allows one claim");
+    assert!(!take(2_000, &write(), StoreUse::Claim), "the next claim must wait for a long time");
     let extra = (0..20).filter(|_| take(9_000, &read(), StoreUse::Config)).count();
     assert!(extra <= 4, "{extra}");
 }
@@ -173,13 +173,13 @@
 #[case::refused_write(write(), TableReply::Unavailable, true)]
 #[case::lost_write(write(), TableReply::Uncertain, false)]
 #[case::conflict(write(), TableReply::Conflict(Vec::new()), false)]
-fn only_what_is_safe_is_sent_again(
+fn only_safe_requests_are_retried(
     #[case] request: TableRequest,
     #[case] reply: TableReply,
-    #[case] is_sent: bool,
+    #[case] is_retried: bool,
 ) {
     let backoff = StoreBackoff::default();
 
-    assert_eq!(backoff.pause(&request, &reply, 1, &mut rng()).is_some(), is_sent);
+    assert_eq!(backoff.pause(&request, &reply, 1, &mut rng()).is_some(), is_retried);
     assert_eq!(backoff.pause(&request, &reply, backoff.max_attempts, &mut rng()), None);
 }
--- a/crates/coltsfootroute/tests/integration/suspension.rs
+++ b/crates/coltsfootroute/tests/integration/suspension.rs
@@ -1,4 +1,4 @@
-//! A host that was suspended: its steady clock stood still, everybody else's time went on.
+//! Suspension of a host, during which its monotonic clock stops while time goes on for all other hosts.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_upstream_is_not_gone_because_its_host_slept() {
+fn an_upstream_is_not_considered_dead_because_its_host_was_suspended() {
     let mut watch = HeartbeatWatch::new(START);
     let waking = START + Duration::from_secs(60);
     assert!(watch.is_silent(waking));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_a_sleeping_host_did_not_spend_is_not_saved_beyond_its_burst() {
+fn tokens_unused_during_a_suspension_are_not_saved_beyond_the_burst() {
     let mut bucket = TokenBucket::new(2.0, 3.0);
     let waking = START + Duration::from_secs(60);
 
