--- a/crates/coltsfootroute/src/retry/account_ledger.rs
+++ b/crates/coltsfootroute/src/retry/account_ledger.rs
@@ -1,20 +1,22 @@
-//! The accounts of the client requests that a node took in.
+//! Retry accounts of the client requests that entered at a node.
 
 use std::collections::BTreeSet;
 
 use indexmap::IndexMap;
 
-use super::{LedgerSettings, OpenAnswer, TakeAnswer, TakeDenial, retry_account::RetryAccount};
+use super::{
+    AcquireDenial, AcquireResult, LedgerSettings, OpenResult, retry_account::RetryAccount,
+};
 use crate::{id::RequestId, time::MonotonicTime};
 
 /// Retry accounts at the node where client requests enter.
 ///
-/// The number of retries that one request causes is bounded by its budget, at any depth and fan-out:
-/// whoever retries first takes a token here under an id of its own drawing, and retries once for each
-/// id that was granted. A lost message costs a token at most and never yields one; a repeated message
-/// finds the answer that it got before; a ledger that died knows no accounts and denies.
+/// The number of retries that one request causes is bounded by its budget, at any depth and fan-out: before a retry,
+/// the caller acquires a token here under an id that it draws at random, and it retries once for each granted id. A
+/// lost message costs at most one token and never grants one. A repeated message gets the same answer as before. After
+/// a restart the ledger knows none of the earlier accounts and denies their requests.
 ///
-/// Invariants: at most `most_accounts` accounts; each account has one entry in `expiries`.
+/// Invariants: at most `max_accounts` accounts; each account has one entry in `expiries`.
 #[derive(Clone, Debug)]
 pub struct AccountLedger {
     settings: LedgerSettings,
@@ -29,67 +31,72 @@
 }
 
 impl AccountLedger {
-    /// An empty ledger.
+    /// Creates a ledger without accounts.
     pub fn new(settings: LedgerSettings) -> Self {
         Self { settings, accounts: IndexMap::new(), expiries: BTreeSet::new() }
     }
 
-    /// Opens the account of `request` with `budget` tokens. A request id is never used twice; an
-    /// account that is open already keeps its budget and its tokens taken.
+    /// Opens the account of `request` with `budget` tokens. Request ids must be unique. An account that is already
+    /// open keeps its budget and the tokens acquired so far.
     pub fn open(
         &mut self,
         now: MonotonicTime,
         request: RequestId,
         budget: u32,
         deadline: MonotonicTime,
-    ) -> OpenAnswer {
+    ) -> OpenResult {
         self.expire(now);
         if self.accounts.contains_key(&request) {
-            return OpenAnswer::AlreadyOpen;
+            return OpenResult::AlreadyOpen;
         }
-        if self.accounts.len() >= self.settings.most_accounts {
-            return OpenAnswer::Full;
+        if self.accounts.len() >= self.settings.max_accounts {
+            return OpenResult::Full;
         }
         let expires_at = deadline + self.settings.expiry_margin;
         let account = RetryAccount::new(budget, deadline);
         self.accounts.insert(request, AccountEntry { account, expires_at });
         self.expiries.insert((expires_at, request));
-        OpenAnswer::Opened
+        OpenResult::Opened
     }
 
-    /// Takes a token for one retry. `take_id` is drawn at random by the asker, once for each retry:
-    /// the same id again gets the same answer and costs nothing.
-    pub fn take(&mut self, now: MonotonicTime, request: RequestId, take_id: u64) -> TakeAnswer {
+    /// Acquires a token for one retry. The caller draws `token_id` at random once for each retry: the same id gets the
+    /// same answer again and costs no further token.
+    pub fn acquire(
+        &mut self,
+        now: MonotonicTime,
+        request: RequestId,
+        token_id: u64,
+    ) -> AcquireResult {
         self.expire(now);
         match self.accounts.get_mut(&request) {
-            Some(entry) => entry.account.take(now, take_id),
-            None => TakeAnswer::Denied(TakeDenial::UnknownAccount),
+            Some(entry) => entry.account.acquire(now, token_id),
+            None => AcquireResult::Denied(AcquireDenial::UnknownAccount),
         }
     }
 
-    /// Closes the account of a request that has its final answer.
+    /// Closes the account of a request that has received its final answer.
     pub fn close(&mut self, request: RequestId) {
         if let Some(entry) = self.accounts.swap_remove(&request) {
             self.expiries.remove(&(entry.expires_at, request));
         }
     }
 
-    /// Tokens taken by `request`; `None` where no account is open.
+    /// Returns the number of tokens granted to `request`; `None` if it has no open account.
     pub fn granted(&self, request: RequestId) -> Option<u32> {
         self.accounts.get(&request).map(|entry| entry.account.granted_count())
     }
 
-    /// Tokens left to `request`; `None` where no account is open.
+    /// Returns the number of tokens that `request` has left; `None` if it has no open account.
     pub fn remaining(&self, request: RequestId) -> Option<u32> {
         self.accounts.get(&request).map(|entry| entry.account.remaining())
     }
 
-    /// Number of open accounts.
+    /// Returns the number of open accounts.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether no account is open.
+    /// Returns whether no account is open.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
--- a/crates/coltsfootroute/src/retry/retry_account.rs
+++ b/crates/coltsfootroute/src/retry/retry_account.rs
@@ -1,17 +1,17 @@
-//! Account of one client request.
+//! Retry account of one client request.
 
-use super::{TakeAnswer, TakeDenial};
+use super::{AcquireDenial, AcquireResult};
 use crate::time::MonotonicTime;
 
-/// Tokens of one client request.
+/// Retry tokens of one client request.
 ///
-/// Invariant: `granted` holds different ids, at most `budget` of them, and only grows.
+/// Invariant: `granted` holds at most `budget` distinct ids and only grows.
 #[derive(Clone, Debug)]
 pub(super) struct RetryAccount {
     budget: u32,
     deadline: MonotonicTime,
-    /// The ids that were granted: a repeated message finds its own answer here. Denied ids need no
-    /// record, because a spent budget never comes back.
+    /// Granted ids, from which repeated messages are answered. Denied ids need not be stored, because a spent budget
+    /// is never refilled.
     granted: Vec<u64>,
 }
 
@@ -20,18 +20,18 @@
         Self { budget, deadline, granted: Vec::new() }
     }
 
-    pub(super) fn take(&mut self, now: MonotonicTime, take_id: u64) -> TakeAnswer {
-        if self.granted.contains(&take_id) {
-            return TakeAnswer::Granted;
+    pub(super) fn acquire(&mut self, now: MonotonicTime, token_id: u64) -> AcquireResult {
+        if self.granted.contains(&token_id) {
+            return AcquireResult::Granted;
         }
         if self.deadline <= now {
-            return TakeAnswer::Denied(TakeDenial::DeadlinePassed);
+            return AcquireResult::Denied(AcquireDenial::DeadlinePassed);
         }
         if self.granted_count() >= self.budget {
-            return TakeAnswer::Denied(TakeDenial::BudgetSpent);
+            return AcquireResult::Denied(AcquireDenial::BudgetSpent);
         }
-        self.granted.push(take_id);
-        TakeAnswer::Granted
+        self.granted.push(token_id);
+        AcquireResult::Granted
     }
 
     pub(super) fn remaining(&self) -> u32 {
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn granted_count(&self) -> u32 {
-        // Bounded by `budget`, which is a `u32`.
+        // At most `budget`, which is a `u32`.
         self.granted.len() as u32
     }
 }
--- a/crates/coltsfootroute/src/retry/retry_policy.rs
+++ b/crates/coltsfootroute/src/retry/retry_policy.rs
@@ -1,4 +1,4 @@
-//! Whether to retry a failed attempt.
+//! Decision whether to retry a failed attempt.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
     time::MonotonicTime,
 };
 
-/// Decides whether a retry is safe and useful; the account then decides whether it may happen.
+/// Decides whether a retry is safe and useful. The request's account then decides whether it is granted.
 #[derive(Clone, Debug, Default)]
 pub struct RetryPolicy {
     settings: RetrySettings,
 }
 
 impl RetryPolicy {
-    /// A policy with `settings`.
+    /// Creates a policy with `settings`.
     pub fn new(settings: RetrySettings) -> Self {
         Self { settings }
     }
 
-    /// Decides on `attempt`. A retry goes to another upstream than the attempts before it.
+    /// Decides whether to retry after `attempt`. A retry goes to a different upstream than the earlier attempts.
     pub fn decide(
         &self,
         now: MonotonicTime,
         rng: &mut impl Rng,
         attempt: &FailedAttempt,
     ) -> RetryDecision {
-        if let Some(cause) = self.obstacle(attempt) {
+        if let Some(cause) = self.give_up_cause(attempt) {
             return RetryDecision::GiveUp(cause);
         }
         let backoff = self.backoff(rng, attempt);
@@ -37,10 +37,10 @@
         if attempt.deadline <= now + backoff + expected {
             return RetryDecision::GiveUp(GiveUpCause::TooLate);
         }
-        RetryDecision::Ask { backoff }
+        RetryDecision::Retry { backoff }
     }
 
-    fn obstacle(&self, attempt: &FailedAttempt) -> Option<GiveUpCause> {
+    fn give_up_cause(&self, attempt: &FailedAttempt) -> Option<GiveUpCause> {
         if attempt.outcome == CallOutcome::Completed {
             return Some(GiveUpCause::Completed);
         }
@@ -59,31 +59,31 @@
         if attempt.shedding {
             return Some(GiveUpCause::Shedding);
         }
-        let own_bound = self.settings.most_attempts;
-        let bound = attempt.most_attempts.map_or(own_bound, |most| most.min(own_bound));
-        // What an upstream has rejected has cost it next to nothing.
+        let own_max = self.settings.max_attempts;
+        let bound = attempt.max_attempts.map_or(own_max, |max| max.min(own_max));
+        // Rejected attempts do not count, because they cost the upstream almost nothing.
         let counted = attempt.attempts.saturating_sub(attempt.rejections);
-        let is_spent = counted >= bound || attempt.attempts >= self.settings.most_sends;
+        let is_spent = counted >= bound || attempt.attempts >= self.settings.max_sends;
         is_spent.then_some(GiveUpCause::AttemptsSpent)
     }
 
     fn backoff(&self, rng: &mut impl Rng, attempt: &FailedAttempt) -> Duration {
-        // A leave says nothing of load: another upstream can take the call at once.
+        // A leaving upstream is no sign of overload, so another one can be tried immediately.
         if attempt.reason == Some(RefusalReason::Leaving) {
             return Duration::ZERO;
         }
         let doublings = attempt.attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-        let longest = self.settings.first_backoff.saturating_mul(1 << doublings);
-        let longest = longest.min(self.settings.longest_backoff);
-        let micros = u64::try_from(longest.as_micros()).unwrap_or(u64::MAX);
+        let max_backoff = self.settings.initial_backoff.saturating_mul(1 << doublings);
+        let max_backoff = max_backoff.min(self.settings.max_backoff);
+        let micros = u64::try_from(max_backoff.as_micros()).unwrap_or(u64::MAX);
         Duration::from_micros(rng.random_range(0..=micros))
     }
 }
 
-/// Keeps the factor of a backoff within 32 bits.
+/// Maximum number of times that the backoff is doubled; keeps the factor within 32 bits.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Whether every upstream would refuse the call for the same reason.
+/// Returns whether every upstream would refuse the call for the same reason.
 fn is_final(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::KeyConflict
--- a/crates/coltsfootroute/src/retry/service_throttle.rs
+++ b/crates/coltsfootroute/src/retry/service_throttle.rs
@@ -1,10 +1,10 @@
-//! Bound on the retries that reach an upstream.
+//! Throttle for the retries that reach an upstream.
 
 use super::{ThrottleSettings, retry_bucket::RetryBucket, retry_window::RetryWindow};
 use crate::{importance::Importance, time::MonotonicTime};
 
-/// Bounds the retries that reach an upstream to a share of its calls, whichever callers and client requests they
-/// belong to. Kept by the guard: each upstream's share adds up to that of its service.
+/// Limits the retries that reach an upstream to a share of its calls, across all callers and client requests. Each
+/// guard has its own throttle, so the limits of the upstreams add up to that of their service.
 #[derive(Clone, Debug)]
 pub struct ServiceThrottle {
     bound: RetryBound,
@@ -12,39 +12,40 @@
 
 #[derive(Clone, Debug)]
 enum RetryBound {
-    /// Where nothing but a burst is saved up.
+    /// Used if at most the burst can be saved up.
     Bucket(RetryBucket),
-    /// Where the calls of some seconds earn for the same seconds.
+    /// Used if the calls of a window of some seconds earn the retries of that window.
     Window(Box<RetryWindow>),
 }
 
 impl ServiceThrottle {
-    /// A throttle with its burst saved up.
+    /// Creates a throttle with its burst available.
     pub fn new(now: MonotonicTime, settings: ThrottleSettings) -> Self {
-        let bound = match settings.saving_seconds {
+        let bound = match settings.window_seconds {
             0 => RetryBound::Bucket(RetryBucket::new(now, settings)),
             _ => RetryBound::Window(Box::new(RetryWindow::new(settings))),
         };
         Self { bound }
     }
 
-    /// Another guard of the service, with a throttle of its own, has come, gone or begun anew.
-    pub fn note_guard_change(&mut self, now: MonotonicTime) {
+    /// Records that another guard of the service, which has its own throttle, has joined, left or restarted.
+    pub fn record_guard_change(&mut self, now: MonotonicTime) {
         match &mut self.bound {
             RetryBound::Bucket(_) => {}
-            RetryBound::Window(window) => window.note_guard_change(now),
+            RetryBound::Window(window) => window.record_guard_change(now),
         }
     }
 
-    /// Counts a first attempt.
-    pub fn call(&mut self, now: MonotonicTime) {
+    /// Records a first attempt.
+    pub fn record_call(&mut self, now: MonotonicTime) {
         match &mut self.bound {
-            RetryBound::Bucket(bucket) => bucket.call(),
-            RetryBound::Window(window) => window.call(now),
+            RetryBound::Bucket(bucket) => bucket.record_call(),
+            RetryBound::Window(window) => window.record_call(now),
         }
     }
 
-    /// Whether the upstream bears one more retry now, for a request of `importance`; if so, it is counted.
+    /// Grants and counts one retry for a request of `importance` if the limit allows it; returns whether it was
+    /// granted.
     pub fn try_retry(&mut self, now: MonotonicTime, importance: Importance) -> bool {
         match &mut self.bound {
             RetryBound::Bucket(bucket) => bucket.try_retry(now),
@@ -52,16 +53,16 @@
         }
     }
 
-    /// Gives back a retry that did not reach the upstream.
-    pub fn give_back(&mut self, now: MonotonicTime, importance: Importance) {
+    /// Refunds a granted retry that did not reach the upstream.
+    pub fn refund(&mut self, now: MonotonicTime, importance: Importance) {
         match &mut self.bound {
-            RetryBound::Bucket(bucket) => bucket.give_back(),
-            RetryBound::Window(window) => window.give_back(now, importance),
+            RetryBound::Bucket(bucket) => bucket.refund(),
+            RetryBound::Window(window) => window.refund(now, importance),
         }
     }
 
-    /// Counts a repeat that could not be helped: a first attempt of a call below work that is itself run
-    /// again.
+    /// Charges the throttle for an unavoidable repeat: the first attempt of a call that is nested below a call that is
+    /// itself executed again.
     pub fn charge(&mut self, now: MonotonicTime) {
         match &mut self.bound {
             RetryBound::Bucket(bucket) => bucket.charge(),
--- a/crates/coltsfootroute/src/routing/upstream_record.rs
+++ b/crates/coltsfootroute/src/routing/upstream_record.rs
@@ -1,4 +1,4 @@
-//! What a pool keeps of one upstream.
+//! State that a pool keeps for one upstream.
 
 use std::time::Duration;
 
@@ -16,20 +16,20 @@
     pub(super) share: InFlightShare,
     pub(super) latency: LatencyAverage,
     pub(super) health: UpstreamHealth,
-    /// Whether membership names it; one that it no longer names stays only while calls are in flight.
+    /// Whether membership lists the upstream. One that is no longer listed is kept only while calls are in flight.
     pub(super) present: bool,
-    /// When it was first heard to leave.
+    /// Time at which membership first reported that it is leaving.
     leaving_since: Option<MonotonicTime>,
-    /// Whether it has itself refused a call as leaving.
+    /// Whether it has refused a call because it is leaving.
     has_refused_as_leaving: bool,
-    /// Calls started and not finished, to this life and earlier ones.
+    /// Unfinished calls, to this incarnation and earlier ones.
     pub(super) in_flight: u32,
-    /// Calls of `in_flight` that were started in an earlier life; their results say nothing of this one.
+    /// Calls of `in_flight` that were sent to an earlier incarnation; their results are ignored.
     stale_in_flight: u32,
     /// Share of refusals among recent results, 0 to 1.
     refused_share: f64,
     refused_at: MonotonicTime,
-    warming_since: MonotonicTime,
+    warm_up_start: MonotonicTime,
 }
 
 impl UpstreamRecord {
@@ -39,7 +39,7 @@
         tier: UpstreamTier,
         settings: &RoutingSettings,
     ) -> Self {
-        let share = InFlightShare::new(info.connections, settings.callers, settings.least_share);
+        let share = InFlightShare::new(info.connections, settings.callers, settings.min_share);
         Self {
             leaving_since: info.leaving.then_some(now),
             has_refused_as_leaving: false,
@@ -53,11 +53,11 @@
             stale_in_flight: 0,
             refused_share: 0.0,
             refused_at: now,
-            warming_since: now,
+            warm_up_start: now,
         }
     }
 
-    /// Takes in newer knowledge from membership; older knowledge is ignored.
+    /// Applies an update from membership; an update about an older incarnation is ignored.
     pub(super) fn update(
         &mut self,
         now: MonotonicTime,
@@ -76,51 +76,51 @@
             self.stale_in_flight = in_flight;
             return;
         }
-        let left = self.info.leaving;
+        let was_leaving = self.info.leaving;
         self.info = info;
-        self.info.leaving |= left;
+        self.info.leaving |= was_leaving;
         if self.info.leaving {
             self.leaving_since.get_or_insert(now);
         }
         self.tier = tier;
-        self.divide_connections(settings);
+        self.update_share(settings);
     }
 
-    /// Works out this caller's share anew.
-    pub(super) fn divide_connections(&mut self, settings: &RoutingSettings) {
+    /// Recomputes this caller's share of the connections.
+    pub(super) fn update_share(&mut self, settings: &RoutingSettings) {
         let connections = self.info.connections;
-        self.share = InFlightShare::new(connections, settings.callers, settings.least_share);
+        self.share = InFlightShare::new(connections, settings.callers, settings.min_share);
     }
 
-    /// Whether it belongs to the live part of the pool.
+    /// Returns whether membership lists the upstream and it is not leaving.
     pub(super) fn is_live(&self) -> bool {
         self.present && !self.info.leaving
     }
 
-    /// Whether it may still take calls although it leaves: it has not refused any as yet, and its leave is
-    /// `recent`.
+    /// Returns whether the upstream may still accept a call although it is leaving: the leave was reported less
+    /// than `recent` ago, it has refused no call because of it, and this caller's share is not used up.
     pub(super) fn is_departing(&self, now: MonotonicTime, recent: Duration) -> bool {
         let is_recent = self.leaving_since.is_some_and(|since| now.since(since) < recent);
         is_recent && !self.has_refused_as_leaving && self.in_flight < self.share.0
     }
 
-    /// Whether this caller's share has room for a call.
-    pub(super) fn has_room(&self) -> bool {
+    /// Returns whether the upstream is live and this caller's share is not used up.
+    pub(super) fn has_capacity(&self) -> bool {
         self.is_live() && self.in_flight < self.share.0
     }
 
-    /// Whether a call may be sent, suspicion aside.
-    pub(super) fn takes_calls(&self, now: MonotonicTime) -> bool {
-        self.has_room() && (!self.health.is_ejected() || self.wants_trial(now))
+    /// Returns whether a call may be sent, regardless of suspicion.
+    pub(super) fn accepts_calls(&self, now: MonotonicTime) -> bool {
+        self.has_capacity() && (!self.health.is_ejected() || self.may_start_trial(now))
     }
 
-    /// Whether a trial call may start: one at a time, and none before the calls that led to the
-    /// ejection have ended.
-    pub(super) fn wants_trial(&self, now: MonotonicTime) -> bool {
+    /// Returns whether a trial call may start: one at a time, and none before the calls that were in flight at the
+    /// ejection have finished.
+    pub(super) fn may_start_trial(&self, now: MonotonicTime) -> bool {
         self.in_flight == 0 && self.health.is_on_trial(now)
     }
 
-    /// How bad a choice the upstream is: expected wait per slot, in microseconds.
+    /// Returns the expected wait per slot in microseconds; lower is better.
     pub(super) fn cost(
         &self,
         now: MonotonicTime,
@@ -128,18 +128,18 @@
         settings: &RoutingSettings,
     ) -> f64 {
         let slots = f64::from(self.info.slots.max(1));
-        // Fewer calls than this caller's part of the slots tell little of the upstream's load.
-        let part = (slots / f64::from(settings.callers.max(1))).clamp(1.0, MOST_PART);
+        // Fewer calls in flight than this caller's part of the slots say little about the upstream's load.
+        let part = (slots / f64::from(settings.callers.max(1))).clamp(1.0, MAX_SLOTS_PER_CALLER);
         let latency = self.latency.micros(now, settings.latency_window, baseline).max(1.0);
         let waiting = f64::from(self.in_flight) + part;
         let room = slots * self.weight(now, settings);
         let refusals = self.recent_refusals(now, settings);
-        latency * waiting / room * (1.0 + REFUSAL_PENALTY * refusals)
+        latency * waiting / room * (1.0 + REFUSAL_COST_FACTOR * refusals)
     }
 
-    /// Weight from just above 0 to 1.
+    /// Returns the weight, which rises to 1 during the slow start; always above 0.
     pub(super) fn weight(&self, now: MonotonicTime, settings: &RoutingSettings) -> f64 {
-        let elapsed = now.since(self.warming_since);
+        let elapsed = now.since(self.warm_up_start);
         if elapsed >= settings.slow_start {
             return 1.0;
         }
@@ -168,8 +168,8 @@
         self.in_flight += 1;
     }
 
-    /// Takes in a call's result; ejection is left to the pool, which knows the cap. A trial that took
-    /// longer than `slow_limit` microseconds fails.
+    /// Records the result of a call. A trial that took longer than `slow_limit` microseconds fails. Ejection is
+    /// left to the pool, which enforces the limit on ejected upstreams.
     pub(super) fn finished(
         &mut self,
         now: MonotonicTime,
@@ -187,7 +187,7 @@
         match result {
             RouteResult::Succeeded => {
                 self.latency.record(now, latency, window);
-                self.count_refusal(now, 0.0, settings);
+                self.update_refused_share(now, 0.0, settings);
                 self.succeeded(now, latency, slow_limit, settings);
             }
             RouteResult::Failed => {
@@ -195,7 +195,7 @@
                 self.health.failed(now, settings);
             }
             RouteResult::Unreachable => self.health.failed(now, settings),
-            RouteResult::Refused => self.count_refusal(now, 1.0, settings),
+            RouteResult::Refused => self.update_refused_share(now, 1.0, settings),
             RouteResult::Leaving => {
                 self.info.leaving = true;
                 self.has_refused_as_leaving = true;
@@ -215,10 +215,10 @@
         if self.health.is_on_trial(now) && latency.as_micros() as f64 > slow_limit {
             self.health.failed(now, settings);
         } else if self.health.succeeded(now, settings) {
-            // What it was like before the ejection must not eject it again.
+            // The latency from before the ejection must not eject the upstream again.
             self.latency = LatencyAverage::default();
             self.latency.record(now, latency, settings.latency_window);
-            self.warming_since = now;
+            self.warm_up_start = now;
         }
     }
 
@@ -227,16 +227,22 @@
         self.refused_share * (-elapsed.as_secs_f64() / settings.latency_window.as_secs_f64()).exp()
     }
 
-    fn count_refusal(&mut self, now: MonotonicTime, refused: f64, settings: &RoutingSettings) {
+    fn update_refused_share(
+        &mut self,
+        now: MonotonicTime,
+        refused: f64,
+        settings: &RoutingSettings,
+    ) {
         let recent = self.recent_refusals(now, settings);
-        self.refused_share = recent + (refused - recent) * REFUSAL_GAIN;
+        self.refused_share = recent + (refused - recent) * REFUSAL_SAMPLE_WEIGHT;
         self.refused_at = now;
     }
 }
 
-/// Most calls in flight that tell little: keeps spill-over quick where the callers are not counted.
-const MOST_PART: f64 = 8.0;
-/// How much an upstream that refuses everything costs above one that refuses nothing.
-const REFUSAL_PENALTY: f64 = 10.0;
-/// Weight of one result in the share of refusals.
-const REFUSAL_GAIN: f64 = 0.05;
+/// Upper bound, in calls, of a caller's part of the slots. Keeps spill-over fast where the number of callers is not
+/// known.
+const MAX_SLOTS_PER_CALLER: f64 = 8.0;
+/// Extra cost of an upstream that refuses every call, as a multiple of the cost of one that refuses none.
+const REFUSAL_COST_FACTOR: f64 = 10.0;
+/// Weight of one result in the share of refusals, 0 to 1.
+const REFUSAL_SAMPLE_WEIGHT: f64 = 0.05;
--- a/crates/coltsfootroute/src/table/memory_table.rs
+++ b/crates/coltsfootroute/src/table/memory_table.rs
@@ -1,11 +1,13 @@
-//! A table in memory, for stand-ins and tests.
+//! In-memory table for stand-ins and tests.
 
 use std::{collections::BTreeMap, ops::Bound};
 
 use super::{RowCondition, RowKey, RowVersion, RowWrite, StoredRow, TableReply, TableRequest};
 
-/// Rows by key, with the semantics of the platform's service. The version of a row that was deleted
-/// starts again at 1: a client that relies on versions must not delete.
+/// In-memory table with the semantics of the platform's service.
+///
+/// The version of a row that is deleted and written again restarts at 1, so a client that relies on versions must not
+/// delete rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemoryTable {
     rows: BTreeMap<String, RowState>,
@@ -18,7 +20,7 @@
 }
 
 impl MemoryTable {
-    /// Carries out `request` whole.
+    /// Executes `request` atomically.
     pub fn apply(&mut self, request: &TableRequest) -> TableReply {
         match request {
             TableRequest::Read(key) => TableReply::Rows(self.row(key).into_iter().collect()),
@@ -48,7 +50,8 @@
     }
 
     fn transact(&mut self, writes: &[RowWrite]) -> TableReply {
-        let failed: Vec<&RowWrite> = writes.iter().filter(|write| !self.holds(write)).collect();
+        let failed: Vec<&RowWrite> =
+            writes.iter().filter(|write| !self.condition_holds(write)).collect();
         if !failed.is_empty() {
             let mut keys: Vec<&RowKey> = failed.iter().map(|write| &write.key).collect();
             keys.sort();
@@ -63,7 +66,7 @@
         TableReply::Committed
     }
 
-    fn holds(&self, write: &RowWrite) -> bool {
+    fn condition_holds(&self, write: &RowWrite) -> bool {
         let version = self.rows.get(write.key.as_str()).map(|row| row.version);
         match write.condition {
             RowCondition::Absent => version.is_none(),
--- a/crates/coltsfootroute/src/table/store_backoff.rs
+++ b/crates/coltsfootroute/src/table/store_backoff.rs
@@ -1,4 +1,4 @@
-//! Which requests to the table service are sent again, and when.
+//! Retry policy for requests to the table service.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 use super::{TableReply, TableRequest};
 
 record_type! {
-    /// Bounded, jittered retry. A write without an answer is never sent again from here: only the
-    /// state machine that issued it knows how to read back its effect.
+    /// Bounded retries with a jittered exponential backoff. A write without a reply is never retried here, because only
+    /// the state machine that issued it knows how to read back its effect.
     pub struct StoreBackoff {
-        /// Times a request is sent at the most; at least 1.
-        pub attempts: u32,
-        /// Longest pause before the second attempt; doubled with each further one.
-        pub first_pause: Duration,
-        /// Longest pause at all.
-        pub longest_pause: Duration,
+        /// Maximum number of attempts, including the first; at least 1.
+        pub max_attempts: u32,
+        /// Upper bound of the pause before the second attempt; doubles with each further attempt.
+        pub initial_pause: Duration,
+        /// Upper bound of any pause.
+        pub max_pause: Duration,
     }
 }
 
 impl Default for StoreBackoff {
     fn default() -> Self {
         Self {
-            attempts: 3,
-            first_pause: Duration::from_millis(20),
-            longest_pause: Duration::from_millis(500),
+            max_attempts: 3,
+            initial_pause: Duration::from_millis(20),
+            max_pause: Duration::from_millis(500),
         }
     }
 }
 
 impl StoreBackoff {
-    /// The pause before `request` is sent again after its attempt number `attempt` (from 1) gave
-    /// `reply`; `None` where that reply stands.
+    /// Returns the pause before `request` is retried after attempt number `attempt`, counted from 1, received `reply`.
+    /// `None` if it must not be retried.
     pub fn pause(
         &self,
         request: &TableRequest,
@@ -39,16 +39,16 @@
         attempt: u32,
         rng: &mut impl Rng,
     ) -> Option<Duration> {
-        if attempt >= self.attempts || !is_safe(request, reply) {
+        if attempt >= self.max_attempts || !is_safe(request, reply) {
             return None;
         }
         let doublings = (attempt - 1).min(16);
-        let longest = (self.first_pause * (1 << doublings)).min(self.longest_pause);
-        Some(longest.mul_f64(rng.random_range(0.0..=1.0)))
+        let max_pause = (self.initial_pause * (1 << doublings)).min(self.max_pause);
+        Some(max_pause.mul_f64(rng.random_range(0.0..=1.0)))
     }
 }
 
-/// Whether sending again can't carry out a write twice.
+/// Returns whether `reply` calls for a retry that cannot execute a write twice.
 fn is_safe(request: &TableRequest, reply: &TableReply) -> bool {
     match reply {
         TableReply::Unavailable => true,
