--- a/crates/coltsfoot-node/src/dispatch/guard/once_desk.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/once_desk.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, time::Duration};
 
 use coltsfootroute::{
-    once::{ClaimHolder, ErrandReply, ErrandRequest, OnceGuard, OnceSettings},
+    once::{ClaimHolder, OnceGuard, OnceSettings, TaskReply, TaskRequest},
     table::StoreUse,
 };
 use tokio::sync::Notify;
@@ -33,7 +33,7 @@
     pub fn new(holder: ClaimHolder, store: StoreHandle, nodes: u32) -> Self {
         let settings = OnceSettings::default();
         Self {
-            answer_wait: settings.longest_answer_wait,
+            answer_wait: settings.max_answer_wait,
             guard: RefCell::new(OnceGuard::new(holder, settings)),
             store,
             errands_changed: Notify::new(),
@@ -43,14 +43,14 @@
     }
 
     /// Asks the store what a claim owes it.
-    pub async fn carry_out(&self, request: ErrandRequest) -> ErrandReply {
+    pub async fn carry_out(&self, request: TaskRequest) -> TaskReply {
         match request {
-            ErrandRequest::Table(request) => ErrandReply::Table(
+            TaskRequest::Table(request) => TaskReply::Table(
                 self.store.request(request, ERRAND_DEADLINE, StoreUse::Answer).await,
             ),
-            ErrandRequest::PutObject { name, body } => ErrandReply::Object(
-                self.store.put_object(&name, body.into(), ERRAND_DEADLINE).await,
-            ),
+            TaskRequest::PutObject { name, body } => {
+                TaskReply::Object(self.store.put_object(&name, body.into(), ERRAND_DEADLINE).await)
+            }
         }
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/guard/once_errands.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/once_errands.rs
@@ -6,7 +6,7 @@
 use coltsfootroute::{
     id::RequestId,
     once::{
-        ClaimHolder, ClaimId, HolderAnswer, HolderView, RecordSweeper, StoreErrand, SweepStep,
+        ClaimHolder, ClaimId, HolderAnswer, HolderView, RecordSweeper, StoreTask, SweepStep,
         WallTime,
     },
     table::StoreUse,
@@ -32,12 +32,12 @@
     /// Sends what claims owe the store, each as a task of its own.
     pub async fn run_errands(self: Rc<Self>) {
         loop {
-            let errand = self.once.guard.borrow_mut().next_errand(self.context.now());
+            let errand = self.once.guard.borrow_mut().next_task(self.context.now());
             if let Some(errand) = errand {
                 spawn_local(self.clone().run_errand(errand));
                 continue;
             }
-            let next = self.once.guard.borrow().next_errand_at();
+            let next = self.once.guard.borrow().next_task_at();
             let changed = self.once.errands_changed.notified();
             match next {
                 Some(at) => tokio::select! {
@@ -49,13 +49,13 @@
         }
     }
 
-    async fn run_errand(self: Rc<Self>, errand: StoreErrand) {
+    async fn run_errand(self: Rc<Self>, errand: StoreTask) {
         let claim_id = errand.claim_id;
         let mut request = Some(errand.request);
         while let Some(next) = request.take() {
             let reply = self.once.carry_out(next).await;
             let mut guard = self.once.guard.borrow_mut();
-            let follow = guard.on_errand_reply(claim_id, &reply, self.context.now());
+            let follow = guard.on_task_reply(claim_id, &reply, self.context.now());
             request = follow.map(|errand| errand.request);
         }
         self.once.settled.notify_waiters();
@@ -76,7 +76,7 @@
         loop {
             let reply = self.once.store.request(request, ERRAND_DEADLINE, StoreUse::Answer).await;
             match sweeper.on_reply(&reply) {
-                SweepStep::Ask(next) => request = next,
+                SweepStep::Send(next) => request = next,
                 // Objects without a record cost room only; the store client has no delete yet.
                 SweepStep::Done { .. } => return,
             }
--- a/crates/coltsfoot-node/src/dispatch/guard/once_run.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/once_run.rs
@@ -80,7 +80,7 @@
         let mut step = self.once.guard.borrow_mut().begin(once_call, claim_id, wall);
         loop {
             let request = match step {
-                ClaimStep::Ask(request) => request,
+                ClaimStep::Send(request) => request,
                 ClaimStep::Done(result) => {
                     self.once.errands_changed.notify_one();
                     return result;
--- a/crates/coltsfoot-node/src/store/store_handle.rs
+++ b/crates/coltsfoot-node/src/store/store_handle.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use coltsfootroute::{
-    once::{ErrandReply, ErrandRequest},
+    once::{TaskReply, TaskRequest},
     table::{ObjectReply, StoreUse, TableReply, TableRequest},
 };
 use tokio::{
@@ -56,13 +56,13 @@
     }
 
     /// Carries out an errand of at-most-once execution within `deadline` from now.
-    pub async fn errand(&self, request: ErrandRequest, deadline: Duration) -> ErrandReply {
+    pub async fn errand(&self, request: TaskRequest, deadline: Duration) -> TaskReply {
         match request {
-            ErrandRequest::Table(request) => {
-                ErrandReply::Table(self.request(request, deadline, StoreUse::Answer).await)
+            TaskRequest::Table(request) => {
+                TaskReply::Table(self.request(request, deadline, StoreUse::Answer).await)
             }
-            ErrandRequest::PutObject { name, body } => {
-                ErrandReply::Object(self.put_object(&name, body.into(), deadline).await)
+            TaskRequest::PutObject { name, body } => {
+                TaskReply::Object(self.put_object(&name, body.into(), deadline).await)
             }
         }
     }
--- a/crates/coltsfoot-node/tests/integration/util/claim_driver.rs
+++ b/crates/coltsfoot-node/tests/integration/util/claim_driver.rs
@@ -8,7 +8,7 @@
     name::{OperationName, ServiceName},
     once::{
         BodyDigest, ClaimHolder, ClaimId, ClaimResult, ClaimStep, ClientKey, DispatchVerdict,
-        OnceCall, OnceGuard, OnceKey, OnceSettings, RunAnswer, StoreErrand, WallTime,
+        OnceCall, OnceGuard, OnceKey, OnceSettings, RunAnswer, StoreTask, WallTime,
     },
     table::StoreUse,
     time::MonotonicTime,
@@ -28,7 +28,7 @@
     pub fn new(store: &StoreHandle, port: u16) -> Self {
         let node = NodeId(([127, 0, 0, 1], port).into());
         let holder = ClaimHolder { node, incarnation: Incarnation(1) };
-        let settings = OnceSettings { errand_pause: Duration::ZERO, ..OnceSettings::default() };
+        let settings = OnceSettings { task_retry_delay: Duration::ZERO, ..OnceSettings::default() };
         Self { guard: OnceGuard::new(holder, settings), store: store.clone() }
     }
 
@@ -47,7 +47,7 @@
         let mut step = self.guard.begin(call, claim_id, WallTime(1));
         loop {
             match step {
-                ClaimStep::Ask(request) => {
+                ClaimStep::Send(request) => {
                     let reply = self.store.request(request, LONG, StoreUse::Claim).await;
                     step = self.guard.on_reply(claim_id, &reply, NOW).expect("still claiming");
                 }
@@ -67,16 +67,16 @@
 
     /// Carries out errands until none is left.
     pub async fn settle(&mut self) {
-        while let Some(errand) = self.guard.next_errand(NOW) {
+        while let Some(errand) = self.guard.next_task(NOW) {
             self.carry_out(errand).await;
         }
     }
 
-    async fn carry_out(&mut self, errand: StoreErrand) {
+    async fn carry_out(&mut self, errand: StoreTask) {
         let mut next = Some(errand);
-        while let Some(StoreErrand { claim_id, request }) = next {
+        while let Some(StoreTask { claim_id, request }) = next {
             let reply = self.store.errand(request, LONG).await;
-            next = self.guard.on_errand_reply(claim_id, &reply, NOW);
+            next = self.guard.on_task_reply(claim_id, &reply, NOW);
         }
     }
 }
--- a/crates/coltsfoot-slopes/src/slopes/decisions.rs
+++ b/crates/coltsfoot-slopes/src/slopes/decisions.rs
@@ -14,7 +14,7 @@
     importance::Importance,
     once::{
         BodyDigest, ClaimHolder, ClaimId, ClaimResult, ClaimStep, ClientKey, DispatchVerdict,
-        ErrandReply, OnceCall, OnceGuard, OnceKey, OnceSettings, RunAnswer, WallTime,
+        OnceCall, OnceGuard, OnceKey, OnceSettings, RunAnswer, TaskReply, WallTime,
     },
     outcome::CallOutcome,
     retry::{AccountLedger, LedgerSettings},
@@ -180,8 +180,8 @@
         let DispatchVerdict::Run(run) = guard.dispatch(ticket, now) else { return };
         let answer = RunAnswer { status: 200, headers: Vec::new(), body: vec![7; 256] };
         guard.finish(run, answer, now);
-        black_box(guard.next_errand(now));
-        guard.on_errand_reply(claim_id, &ErrandReply::Table(TableReply::Committed), now);
+        black_box(guard.next_task(now));
+        guard.on_task_reply(claim_id, &TaskReply::Table(TableReply::Committed), now);
     }
 }
 
--- a/crates/coltsfootroute/benches/once.rs
+++ b/crates/coltsfootroute/benches/once.rs
@@ -7,7 +7,7 @@
     name::{OperationName, ServiceName},
     once::{
         BodyDigest, ClaimHolder, ClaimId, ClaimResult, ClaimStep, ClientKey, DispatchVerdict,
-        ErrandReply, OnceCall, OnceGuard, OnceKey, OnceSettings, RunAnswer, WallTime,
+        OnceCall, OnceGuard, OnceKey, OnceSettings, RunAnswer, TaskReply, WallTime,
     },
     table::TableReply,
     time::MonotonicTime,
@@ -49,8 +49,8 @@
     let DispatchVerdict::Run(run) = guard.dispatch(ticket, NOW) else { return };
     let answer = RunAnswer { status: 200, headers: Vec::new(), body: vec![7; ANSWER_SIZE] };
     guard.finish(run, answer, NOW);
-    black_box(guard.next_errand(NOW));
-    guard.on_errand_reply(claim_id, &ErrandReply::Table(TableReply::Committed), NOW);
+    black_box(guard.next_task(NOW));
+    guard.on_task_reply(claim_id, &TaskReply::Table(TableReply::Committed), NOW);
 }
 
 fn once(criterion: &mut Criterion) {
--- a/crates/coltsfootroute/src/once/answer_machine.rs
+++ b/crates/coltsfootroute/src/once/answer_machine.rs
@@ -1,8 +1,8 @@
 //! The state machine that stores how a run ended.
 
 use super::{
-    AnswerBody, BodyDigest, ClaimNote, ClaimRecord, ErrandReply, ErrandRequest, RunAnswer,
-    StoredAnswer, row_view,
+    AnswerBody, BodyDigest, ClaimDetails, ClaimRecord, RunAnswer, StoredAnswer, TaskReply,
+    TaskRequest, row_view,
 };
 use crate::table::{ObjectReply, RowKey, RowVersion, TableReply};
 
@@ -10,7 +10,7 @@
     /// Stores the end of a run over its claim. Every request may be sent again: the object has one
     /// content, and the write is conditional on the claim's version.
     pub struct AnswerMachine {
-        claim: ClaimNote,
+        claim: ClaimDetails,
         row_key: RowKey,
         /// Version at which the claim stands.
         version: RowVersion,
@@ -26,22 +26,22 @@
     /// More is to be sent.
     Next,
     /// The store didn't answer: try again later.
-    Later,
+    Retry,
     /// Settled: the end is stored, or the key's record has expired meanwhile.
     Settled,
 }
 
 impl AnswerMachine {
-    /// Stores a complete answer; a body of more than `most_inline` bytes as an object.
+    /// Stores a complete answer; a body of more than `max_inline_bytes` bytes as an object.
     pub(super) fn finished(
-        claim: ClaimNote,
+        claim: ClaimDetails,
         row_key: RowKey,
         version: RowVersion,
         answer: RunAnswer,
-        most_inline: usize,
+        max_inline_bytes: usize,
     ) -> Self {
         let RunAnswer { status, headers, body } = answer;
-        let (body, object) = if body.len() <= most_inline {
+        let (body, object) = if body.len() <= max_inline_bytes {
             (AnswerBody::Inline(body), None)
         } else {
             let name = AnswerBody::object_name(claim.claim_id);
@@ -54,7 +54,7 @@
     }
 
     /// Stores that the run gave no complete answer.
-    pub(super) fn interrupted(claim: ClaimNote, row_key: RowKey, version: RowVersion) -> Self {
+    pub(super) fn interrupted(claim: ClaimDetails, row_key: RowKey, version: RowVersion) -> Self {
         let record = ClaimRecord::Interrupted(claim);
         Self { claim, row_key, version, record, object: None }
     }
@@ -65,31 +65,31 @@
         self.object.is_none().then_some(&self.record)
     }
 
-    pub(super) fn request(&self) -> ErrandRequest {
+    pub(super) fn request(&self) -> TaskRequest {
         match &self.object {
-            Some(body) => ErrandRequest::PutObject {
+            Some(body) => TaskRequest::PutObject {
                 name: AnswerBody::object_name(self.claim.claim_id),
                 body: body.clone(),
             },
             None => {
                 let write = row_view::write(&self.row_key, Some(self.version), &self.record);
-                ErrandRequest::Table(write)
+                TaskRequest::Table(write)
             }
         }
     }
 
-    pub(super) fn on_reply(&mut self, reply: &ErrandReply) -> AnswerProgress {
+    pub(super) fn on_reply(&mut self, reply: &TaskReply) -> AnswerProgress {
         match reply {
-            ErrandReply::Object(ObjectReply::Stored) => {
+            TaskReply::Object(ObjectReply::Stored) => {
                 self.object = None;
                 AnswerProgress::Next
             }
-            ErrandReply::Object(_) => AnswerProgress::Later,
-            ErrandReply::Table(TableReply::Committed) => AnswerProgress::Settled,
+            TaskReply::Object(_) => AnswerProgress::Retry,
+            TaskReply::Table(TableReply::Committed) => AnswerProgress::Settled,
             // Only this holder and the sweeper write over a claim: the row is the own earlier write,
             // whose answer was lost, or a record that has expired.
-            ErrandReply::Table(TableReply::Conflict(_)) => AnswerProgress::Settled,
-            ErrandReply::Table(_) => AnswerProgress::Later,
+            TaskReply::Table(TableReply::Conflict(_)) => AnswerProgress::Settled,
+            TaskReply::Table(_) => AnswerProgress::Retry,
         }
     }
 }
--- a/crates/coltsfootroute/src/once/busy_verdict.rs
+++ b/crates/coltsfootroute/src/once/busy_verdict.rs
@@ -7,7 +7,7 @@
     /// What to do with a request that met [`ClaimResult::Busy`](super::ClaimResult::Busy).
     pub enum BusyVerdict {
         /// The row has moved on or is about to: begin again, within the deadline.
-        TryAgain,
+        Retry,
         /// Refuse with this outcome.
         Refuse(CallOutcome),
     }
@@ -21,7 +21,7 @@
             HolderView::Answered(HolderAnswer::NeverDispatched) => {
                 Self::Refuse(CallOutcome::NotRun)
             }
-            HolderView::Answered(HolderAnswer::NotMine | HolderAnswer::Finished) => Self::TryAgain,
+            HolderView::Answered(HolderAnswer::NotMine | HolderAnswer::Finished) => Self::Retry,
             HolderView::Answered(HolderAnswer::Running)
             | HolderView::Ended
             | HolderView::Unreachable => Self::Refuse(CallOutcome::Unknown),
--- a/crates/coltsfootroute/src/once/claim_note.rs
+++ b/crates/coltsfootroute/src/once/claim_details.rs
@@ -6,7 +6,7 @@
     /// Who claimed a key, for which body, and until when its record answers repeats.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct ClaimNote {
+    pub struct ClaimDetails {
         /// The claim.
         pub claim_id: ClaimId,
         /// The life of a node that made it.
--- a/crates/coltsfootroute/src/once/claim_machine.rs
+++ b/crates/coltsfootroute/src/once/claim_machine.rs
@@ -1,8 +1,8 @@
 //! The state machine of one claim.
 
 use super::{
-    ClaimNote, ClaimRecord, ClaimRefusal, ClaimResult, ClaimStep, ClaimTicket,
-    claim_refusal::ClaimTrace,
+    ClaimDetails, ClaimRecord, ClaimRefusal, ClaimResult, ClaimStep, ClaimTicket,
+    claim_refusal::ClaimEffect,
     row_view::{self, RowView},
 };
 use crate::{
@@ -18,7 +18,7 @@
 /// never deleted at most one of them can take effect.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ClaimMachine {
-    claim: ClaimNote,
+    claim: ClaimDetails,
     row_key: RowKey,
     deadline: MonotonicTime,
     /// What the claim is written on; `None` for no row.
@@ -30,18 +30,18 @@
 }
 
 /// Requests that one claim sends at the most.
-const MOST_REQUESTS: u32 = 8;
+const MAX_REQUESTS: u32 = 8;
 
 impl ClaimMachine {
     /// Prepares to write `claim` to `row_key` before `deadline`.
-    pub fn new(claim: ClaimNote, row_key: RowKey, deadline: MonotonicTime) -> Self {
+    pub fn new(claim: ClaimDetails, row_key: RowKey, deadline: MonotonicTime) -> Self {
         Self {
             claim,
             row_key,
             deadline,
             base: None,
             is_in_doubt: false,
-            requests_left: MOST_REQUESTS,
+            requests_left: MAX_REQUESTS,
         }
     }
 
@@ -64,8 +64,8 @@
     }
 
     /// What the claim may have left in the table if it is given up while a request is under way.
-    pub(super) fn trace(&self) -> ClaimTrace {
-        ClaimTrace::InDoubt(self.base)
+    pub(super) fn effect(&self) -> ClaimEffect {
+        ClaimEffect::InDoubt(self.base)
     }
 
     fn on_row(&mut self, view: RowView, now: MonotonicTime) -> ClaimStep {
@@ -79,7 +79,7 @@
             }
             // Any other record stands on the base or on a later version: no own write can follow.
             RowView::Present(_, record) => ClaimStep::Done(self.judge(record)),
-            RowView::Foreign => {
+            RowView::Unreadable => {
                 self.is_in_doubt = false;
                 self.refuse(RefusalReason::StoreUnavailable)
             }
@@ -112,19 +112,19 @@
             self.is_in_doubt = false;
         }
         self.base = base;
-        if !self.may_ask(now) {
-            return self.refuse(self.reason_to_stop(now));
+        if !self.may_send(now) {
+            return self.refuse(self.stop_reason(now));
         }
-        ClaimStep::Ask(self.write())
+        ClaimStep::Send(self.write())
     }
 
     fn read_back(&mut self, now: MonotonicTime) -> ClaimStep {
         self.is_in_doubt = true;
-        if !self.may_ask(now) {
-            return self.refuse(self.reason_to_stop(now));
+        if !self.may_send(now) {
+            return self.refuse(self.stop_reason(now));
         }
         self.requests_left -= 1;
-        ClaimStep::Ask(TableRequest::Read(self.row_key.clone()))
+        ClaimStep::Send(TableRequest::Read(self.row_key.clone()))
     }
 
     fn write(&mut self) -> TableRequest {
@@ -134,8 +134,8 @@
 
     fn claimed_at(&self, version: RowVersion, now: MonotonicTime) -> ClaimStep {
         if now >= self.deadline {
-            let trace = ClaimTrace::Standing(version);
-            return done(ClaimRefusal::new(RefusalReason::Deadline, trace));
+            let effect = ClaimEffect::Stored(version);
+            return done(ClaimRefusal::new(RefusalReason::Deadline, effect));
         }
         ClaimStep::Done(ClaimResult::Dispatch(ClaimTicket {
             claim_id: self.claim.claim_id,
@@ -146,15 +146,15 @@
     }
 
     fn refuse(&self, reason: RefusalReason) -> ClaimStep {
-        let trace = if self.is_in_doubt { self.trace() } else { ClaimTrace::None };
-        done(ClaimRefusal::new(reason, trace))
+        let effect = if self.is_in_doubt { self.effect() } else { ClaimEffect::None };
+        done(ClaimRefusal::new(reason, effect))
     }
 
-    fn may_ask(&self, now: MonotonicTime) -> bool {
+    fn may_send(&self, now: MonotonicTime) -> bool {
         self.requests_left > 0 && now < self.deadline
     }
 
-    fn reason_to_stop(&self, now: MonotonicTime) -> RefusalReason {
+    fn stop_reason(&self, now: MonotonicTime) -> RefusalReason {
         if now >= self.deadline { RefusalReason::Deadline } else { RefusalReason::StoreUnavailable }
     }
 }
--- a/crates/coltsfootroute/src/once/claim_record.rs
+++ b/crates/coltsfootroute/src/once/claim_record.rs
@@ -1,6 +1,6 @@
 //! The row of a key.
 
-use super::{ClaimNote, StoredAnswer, WallTime};
+use super::{ClaimDetails, StoredAnswer, WallTime};
 
 record_type! {
     /// What the table holds for a key, as JSON. A key that was never claimed has no row; a row is never
@@ -11,16 +11,16 @@
         /// Claims of the key were released by holders that never dispatched; it may be claimed.
         Free,
         /// Claimed: may be running, have run, or never run.
-        Claimed(ClaimNote),
+        Claimed(ClaimDetails),
         /// Ran to its end.
         Finished {
             /// The claim under which it ran.
-            claim: ClaimNote,
+            claim: ClaimDetails,
             /// Its answer.
             answer: StoredAnswer,
         },
         /// Ran without giving a complete answer.
-        Interrupted(ClaimNote),
+        Interrupted(ClaimDetails),
         /// Small remainder of a record whose retention has ended: the key is refused for good.
         Expired,
     }
@@ -39,7 +39,7 @@
     }
 
     /// The claim that the record is about, if there is one.
-    pub fn claim(&self) -> Option<&ClaimNote> {
+    pub fn claim(&self) -> Option<&ClaimDetails> {
         match self {
             Self::Claimed(claim) | Self::Finished { claim, .. } | Self::Interrupted(claim) => {
                 Some(claim)
--- a/crates/coltsfootroute/src/once/claim_refusal.rs
+++ b/crates/coltsfootroute/src/once/claim_refusal.rs
@@ -8,24 +8,24 @@
         /// Why.
         pub reason: RefusalReason,
         /// Whether and where the claim may stand in the table, so that it has to be released.
-        pub(super) trace: ClaimTrace,
+        pub(super) effect: ClaimEffect,
     }
 }
 
 value_type! {
     /// What a claim that won't be dispatched may have left in the table.
-    pub(super) enum ClaimTrace {
+    pub(super) enum ClaimEffect {
         /// Nothing, now or later.
         None,
         /// A write on the base given (`None`: no row) may have taken effect, or may still do so.
         InDoubt(Option<RowVersion>),
         /// The claim stands at this version.
-        Standing(RowVersion),
+        Stored(RowVersion),
     }
 }
 
 impl ClaimRefusal {
-    pub(super) fn new(reason: RefusalReason, trace: ClaimTrace) -> Self {
-        Self { reason, trace }
+    pub(super) fn new(reason: RefusalReason, effect: ClaimEffect) -> Self {
+        Self { reason, effect }
     }
 }
--- a/crates/coltsfootroute/src/once/claim_result.rs
+++ b/crates/coltsfootroute/src/once/claim_result.rs
@@ -1,6 +1,6 @@
 //! How an attempt to claim ends.
 
-use super::{ClaimNote, ClaimRefusal, ClaimTicket, StoredAnswer};
+use super::{ClaimDetails, ClaimRefusal, ClaimTicket, StoredAnswer};
 use crate::outcome::{CallOutcome, RefusalReason};
 
 /// How an attempt to claim a key ends.
@@ -15,7 +15,7 @@
     /// The retention of the key's record has ended.
     Expired,
     /// Claimed by another attempt, whose holder may be asked.
-    Busy(ClaimNote),
+    Busy(ClaimDetails),
     /// It was dispatched, or may have been, by a holder that gave no complete answer.
     Interrupted,
     /// Not dispatched.
--- a/crates/coltsfootroute/src/once/claim_step.rs
+++ b/crates/coltsfootroute/src/once/claim_step.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClaimStep {
     /// Send this request and give its reply back.
-    Ask(TableRequest),
+    Send(TableRequest),
     /// The attempt has ended.
     Done(ClaimResult),
 }
--- a/crates/coltsfootroute/src/once/claim_ticket.rs
+++ b/crates/coltsfootroute/src/once/claim_ticket.rs
@@ -28,7 +28,7 @@
     /// `longest_age` since it claimed, does not dispatch.
     pub(super) fn dispatch(self, now: MonotonicTime, longest_age: Duration) -> DispatchVerdict {
         if now >= self.deadline || now.since(self.claimed_at) > longest_age {
-            return DispatchVerdict::Lapsed;
+            return DispatchVerdict::Expired;
         }
         DispatchVerdict::Run(ClaimRun { claim_id: self.claim_id })
     }
--- a/crates/coltsfootroute/src/once/dispatch_verdict.rs
+++ b/crates/coltsfootroute/src/once/dispatch_verdict.rs
@@ -8,5 +8,5 @@
     /// Send it now.
     Run(ClaimRun),
     /// Too late: refuse it as not run. The claim is being released.
-    Lapsed,
+    Expired,
 }
--- a/crates/coltsfootroute/src/once/once_guard.rs
+++ b/crates/coltsfootroute/src/once/once_guard.rs
@@ -5,12 +5,12 @@
 use indexmap::IndexMap;
 
 use super::{
-    ClaimHolder, ClaimId, ClaimNote, ClaimRecord, ClaimRefusal, ClaimResult, ClaimRun, ClaimStep,
-    ClaimTicket, DispatchVerdict, ErrandReply, ErrandRequest, HolderAnswer, OnceCall, OnceKey,
-    OnceSettings, RunAnswer, StoreErrand, WallTime,
+    ClaimDetails, ClaimHolder, ClaimId, ClaimRecord, ClaimRefusal, ClaimResult, ClaimRun,
+    ClaimStep, ClaimTicket, DispatchVerdict, HolderAnswer, OnceCall, OnceKey, OnceSettings,
+    RunAnswer, StoreTask, TaskReply, TaskRequest, WallTime,
     answer_machine::{AnswerMachine, AnswerProgress},
     claim_machine::ClaimMachine,
-    claim_refusal::ClaimTrace,
+    claim_refusal::ClaimEffect,
     open_claim::{ClaimStage, OpenClaim},
     release_machine::{ReleaseMachine, ReleaseStep},
 };
@@ -30,9 +30,9 @@
     settings: OnceSettings,
     open: IndexMap<ClaimId, OpenClaim>,
     by_key: IndexMap<OnceKey, ClaimId>,
-    /// Claims with an errand to be sent, by the time from which it may be; in that order, as all
-    /// pauses are equally long. A claim whose errand is under way isn't listed.
-    errands: VecDeque<(MonotonicTime, ClaimId)>,
+    /// Claims with an task to be sent, by the time from which it may be; in that order, as all
+    /// pauses are equally long. A claim whose task is under way isn't listed.
+    tasks: VecDeque<(MonotonicTime, ClaimId)>,
 }
 
 impl OnceGuard {
@@ -43,7 +43,7 @@
             settings,
             open: IndexMap::new(),
             by_key: IndexMap::new(),
-            errands: VecDeque::new(),
+            tasks: VecDeque::new(),
         }
     }
 
@@ -56,11 +56,11 @@
         if let Some(result) = self.duplicate(&call, wall) {
             return ClaimStep::Done(result);
         }
-        if self.open.len() >= self.settings.most_open {
-            let refusal = ClaimRefusal::new(RefusalReason::StoreUnavailable, ClaimTrace::None);
+        if self.open.len() >= self.settings.max_open_claims {
+            let refusal = ClaimRefusal::new(RefusalReason::StoreUnavailable, ClaimEffect::None);
             return ClaimStep::Done(ClaimResult::Refuse(refusal));
         }
-        let claim = ClaimNote {
+        let claim = ClaimDetails {
             claim_id,
             holder: self.holder,
             body_digest: call.body_digest,
@@ -73,7 +73,7 @@
         let stage = ClaimStage::Claiming(machine);
         self.by_key.insert(call.key.clone(), claim_id);
         self.open.insert(claim_id, OpenClaim { key: call.key, row_key, claim, stage });
-        ClaimStep::Ask(request)
+        ClaimStep::Send(request)
     }
 
     /// Takes the table's reply for a claim being made; `None` if the claim was given up meanwhile.
@@ -89,12 +89,12 @@
         };
         let step = machine.on_reply(reply, now);
         match &step {
-            ClaimStep::Ask(_) => {}
+            ClaimStep::Send(_) => {}
             ClaimStep::Done(ClaimResult::Dispatch(ticket)) => {
                 open.stage = ClaimStage::Ticketed(ticket.version);
             }
             ClaimStep::Done(ClaimResult::Refuse(refusal)) => {
-                self.release(claim_id, refusal.trace, now);
+                self.release(claim_id, refusal.effect, now);
             }
             ClaimStep::Done(_) => self.settle(claim_id),
         }
@@ -108,8 +108,8 @@
             return;
         };
         if let ClaimStage::Claiming(machine) = &open.stage {
-            let trace = machine.trace();
-            self.release(claim_id, trace, now);
+            let effect = machine.effect();
+            self.release(claim_id, effect, now);
         }
     }
 
@@ -118,13 +118,13 @@
         let (claim_id, version) = (ticket.claim_id, ticket.version);
         let Some(open) = self.open.get_mut(&claim_id).filter(|open| open.is_ticketed()) else {
             // The ticket of another guard: not for this one to run or release.
-            return DispatchVerdict::Lapsed;
+            return DispatchVerdict::Expired;
         };
-        let verdict = ticket.dispatch(now, self.settings.longest_ticket);
+        let verdict = ticket.dispatch(now, self.settings.max_ticket_age);
         match verdict {
             DispatchVerdict::Run(_) => open.stage = ClaimStage::Running(version),
-            DispatchVerdict::Lapsed => {
-                self.release(claim_id, ClaimTrace::Standing(version), now);
+            DispatchVerdict::Expired => {
+                self.release(claim_id, ClaimEffect::Stored(version), now);
             }
         }
         verdict
@@ -133,17 +133,17 @@
     /// Gives back a ticket whose request won't be dispatched.
     pub fn abandon(&mut self, ticket: ClaimTicket, now: MonotonicTime) {
         if self.open.get(&ticket.claim_id).is_some_and(OpenClaim::is_ticketed) {
-            self.release(ticket.claim_id, ClaimTrace::Standing(ticket.version), now);
+            self.release(ticket.claim_id, ClaimEffect::Stored(ticket.version), now);
         }
     }
 
-    /// The run ended with a complete answer. Its record is the next errand; the answer to the caller may
-    /// wait for it up to [`OnceSettings::longest_answer_wait`].
+    /// The run ended with a complete answer. Its record is the next task; the answer to the caller may
+    /// wait for it up to [`OnceSettings::max_answer_wait`].
     pub fn finish(&mut self, run: ClaimRun, answer: RunAnswer, now: MonotonicTime) {
-        let most_inline = self.settings.most_inline;
+        let max_inline_bytes = self.settings.max_inline_bytes;
         self.store(&run, now, |open, version| {
             let row_key = open.row_key.clone();
-            AnswerMachine::finished(open.claim, row_key, version, answer, most_inline)
+            AnswerMachine::finished(open.claim, row_key, version, answer, max_inline_bytes)
         });
     }
 
@@ -158,53 +158,53 @@
     pub fn withdraw(&mut self, run: ClaimRun, now: MonotonicTime) {
         let stage = self.open.get(&run.claim_id).map(|open| &open.stage);
         if let Some(&ClaimStage::Running(version)) = stage {
-            self.release(run.claim_id, ClaimTrace::Standing(version), now);
+            self.release(run.claim_id, ClaimEffect::Stored(version), now);
         }
     }
 
     /// The next request that may be sent at `now` for claims that nobody waits for.
     ///
-    /// Must be followed by [`OnceGuard::on_errand_reply`], with an uncertain reply if there is none: until
-    /// then the claim has no further errand.
-    pub fn next_errand(&mut self, now: MonotonicTime) -> Option<StoreErrand> {
-        let (_, claim_id) = self.errands.pop_front_if(|(due, _)| *due <= now)?;
+    /// Must be followed by [`OnceGuard::on_task_reply`], with an uncertain reply if there is none: until
+    /// then the claim has no further task.
+    pub fn next_task(&mut self, now: MonotonicTime) -> Option<StoreTask> {
+        let (_, claim_id) = self.tasks.pop_front_if(|(due, _)| *due <= now)?;
         let request = match &self.open.get(&claim_id)?.stage {
             ClaimStage::Storing(machine) => machine.request(),
-            ClaimStage::Releasing(machine) => ErrandRequest::Table(machine.start()),
+            ClaimStage::Releasing(machine) => TaskRequest::Table(machine.start()),
             // A claim is listed only in the two stages above.
             _ => return None,
         };
-        Some(StoreErrand { claim_id, request })
+        Some(StoreTask { claim_id, request })
     }
 
-    /// When the next errand may be sent.
-    pub fn next_errand_at(&self) -> Option<MonotonicTime> {
-        self.errands.front().map(|(due, _)| *due)
+    /// When the next task may be sent.
+    pub fn next_task_at(&self) -> Option<MonotonicTime> {
+        self.tasks.front().map(|(due, _)| *due)
     }
 
-    /// Takes the reply to an errand; gives a request to be sent at once for the same claim, if any.
-    pub fn on_errand_reply(
+    /// Takes the reply to an task; gives a request to be sent at once for the same claim, if any.
+    pub fn on_task_reply(
         &mut self,
         claim_id: ClaimId,
-        reply: &ErrandReply,
+        reply: &TaskReply,
         now: MonotonicTime,
-    ) -> Option<StoreErrand> {
+    ) -> Option<StoreTask> {
         let open = self.open.get_mut(&claim_id)?;
         let next = match &mut open.stage {
             ClaimStage::Storing(machine) => match machine.on_reply(reply) {
                 AnswerProgress::Next => Some(machine.request()),
-                AnswerProgress::Later => return self.try_later(claim_id, now),
+                AnswerProgress::Retry => return self.retry_later(claim_id, now),
                 AnswerProgress::Settled => None,
             },
             ClaimStage::Releasing(machine) => match release_step(machine, reply) {
-                ReleaseStep::Ask(request) => Some(ErrandRequest::Table(request)),
-                ReleaseStep::Later => return self.try_later(claim_id, now),
+                ReleaseStep::Send(request) => Some(TaskRequest::Table(request)),
+                ReleaseStep::Retry => return self.retry_later(claim_id, now),
                 ReleaseStep::Released => None,
             },
             _ => return None,
         };
         match next {
-            Some(request) => Some(StoreErrand { claim_id, request }),
+            Some(request) => Some(StoreTask { claim_id, request }),
             None => {
                 self.settle(claim_id);
                 None
@@ -247,7 +247,7 @@
             // Nothing ran yet or will under that claim: nothing to conflict with either.
             ClaimStage::Releasing(_) => ClaimResult::Refuse(ClaimRefusal::new(
                 RefusalReason::StoreUnavailable,
-                ClaimTrace::None,
+                ClaimEffect::None,
             )),
             // Its record may have been stored, and swept with its object, without an answer.
             ClaimStage::Storing(_) if wall >= open.claim.until => ClaimResult::Expired,
@@ -274,19 +274,19 @@
         };
         if let ClaimStage::Running(version) = open.stage {
             open.stage = ClaimStage::Storing(machine(open, version));
-            self.errands.push_front((now, run.claim_id));
+            self.tasks.push_front((now, run.claim_id));
         }
     }
 
     /// Releases a claim that may stand in the table, or forgets one that provably doesn't.
-    fn release(&mut self, claim_id: ClaimId, trace: ClaimTrace, now: MonotonicTime) {
+    fn release(&mut self, claim_id: ClaimId, effect: ClaimEffect, now: MonotonicTime) {
         let Some(open) = self.open.get_mut(&claim_id) else {
             return;
         };
-        match ReleaseMachine::for_trace(claim_id, open.row_key.clone(), trace) {
+        match ReleaseMachine::for_effect(claim_id, open.row_key.clone(), effect) {
             Some(machine) => {
                 open.stage = ClaimStage::Releasing(machine);
-                self.errands.push_front((now, claim_id));
+                self.tasks.push_front((now, claim_id));
             }
             None => self.settle(claim_id),
         }
@@ -298,15 +298,15 @@
         }
     }
 
-    fn try_later(&mut self, claim_id: ClaimId, now: MonotonicTime) -> Option<StoreErrand> {
-        self.errands.push_back((now + self.settings.errand_pause, claim_id));
+    fn retry_later(&mut self, claim_id: ClaimId, now: MonotonicTime) -> Option<StoreTask> {
+        self.tasks.push_back((now + self.settings.task_retry_delay, claim_id));
         None
     }
 }
 
-fn release_step(machine: &ReleaseMachine, reply: &ErrandReply) -> ReleaseStep {
+fn release_step(machine: &ReleaseMachine, reply: &TaskReply) -> ReleaseStep {
     match reply {
-        ErrandReply::Table(reply) => machine.on_reply(reply),
-        ErrandReply::Object(_) => ReleaseStep::Later,
+        TaskReply::Table(reply) => machine.on_reply(reply),
+        TaskReply::Object(_) => ReleaseStep::Retry,
     }
 }
--- a/crates/coltsfootroute/src/once/open_claim.rs
+++ b/crates/coltsfootroute/src/once/open_claim.rs
@@ -1,8 +1,8 @@
 //! A claim that is not settled yet.
 
 use super::{
-    ClaimNote, HolderAnswer, OnceKey, answer_machine::AnswerMachine, claim_machine::ClaimMachine,
-    release_machine::ReleaseMachine,
+    ClaimDetails, HolderAnswer, OnceKey, answer_machine::AnswerMachine,
+    claim_machine::ClaimMachine, release_machine::ReleaseMachine,
 };
 use crate::table::{RowKey, RowVersion};
 
@@ -11,7 +11,7 @@
 pub(super) struct OpenClaim {
     pub(super) key: OnceKey,
     pub(super) row_key: RowKey,
-    pub(super) claim: ClaimNote,
+    pub(super) claim: ClaimDetails,
     pub(super) stage: ClaimStage,
 }
 
--- a/crates/coltsfootroute/src/once/record_sweeper.rs
+++ b/crates/coltsfootroute/src/once/record_sweeper.rs
@@ -13,7 +13,7 @@
         page: usize,
         after: String,
         /// Objects of the transaction under way.
-        dropping: Vec<String>,
+        pending_objects: Vec<String>,
         /// Objects that no record refers to any more.
         objects: Vec<String>,
         is_last_page: bool,
@@ -27,7 +27,7 @@
             now,
             page: page.max(1),
             after: String::new(),
-            dropping: Vec::new(),
+            pending_objects: Vec::new(),
             objects: Vec::new(),
             is_last_page: false,
         }
@@ -47,12 +47,12 @@
         match reply {
             TableReply::Rows(rows) => self.on_page(rows),
             TableReply::Committed => {
-                self.objects.append(&mut self.dropping);
+                self.objects.append(&mut self.pending_objects);
                 self.next_page()
             }
             // Rows of this page have moved on: the next pass takes it again.
             TableReply::Conflict(_) => {
-                self.dropping.clear();
+                self.pending_objects.clear();
                 self.next_page()
             }
             TableReply::Unavailable | TableReply::Uncertain => self.done(),
@@ -68,7 +68,7 @@
         if writes.is_empty() {
             return self.next_page();
         }
-        SweepStep::Ask(TableRequest::Transact(writes))
+        SweepStep::Send(TableRequest::Transact(writes))
     }
 
     fn shrink(&mut self, row: &StoredRow) -> Option<RowWrite> {
@@ -77,7 +77,7 @@
             return None;
         }
         if let Some(name) = object_of(record) {
-            self.dropping.push(name);
+            self.pending_objects.push(name);
         }
         let value = Some(ClaimRecord::Expired.to_value());
         let condition = RowCondition::Version(row.version);
@@ -85,7 +85,7 @@
     }
 
     fn next_page(&mut self) -> SweepStep {
-        if self.is_last_page { self.done() } else { SweepStep::Ask(self.start()) }
+        if self.is_last_page { self.done() } else { SweepStep::Send(self.start()) }
     }
 
     fn done(&mut self) -> SweepStep {
--- a/crates/coltsfootroute/src/once/release_machine.rs
+++ b/crates/coltsfootroute/src/once/release_machine.rs
@@ -2,7 +2,7 @@
 
 use super::{
     ClaimId, ClaimRecord,
-    claim_refusal::ClaimTrace,
+    claim_refusal::ClaimEffect,
     row_view::{self, RowView},
 };
 use crate::table::{RowKey, RowVersion, TableReply, TableRequest};
@@ -13,7 +13,7 @@
     ///
     /// It writes [`ClaimRecord::Free`] over the own claim, or over whatever the claim's late write waits
     /// for; that write raises the version, so the late one can't take effect. The row isn't deleted:
-    /// its version would start again at 1, and a late write would meet its condition.
+    /// its version would start again at 1, and a late write would reply_to its condition.
     pub struct ReleaseMachine {
         claim_id: ClaimId,
         row_key: RowKey,
@@ -26,9 +26,9 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReleaseStep {
     /// Send this request and give its reply back.
-    Ask(TableRequest),
+    Send(TableRequest),
     /// The store didn't answer: start again later.
-    Later,
+    Retry,
     /// The claim is gone for good.
     Released,
 }
@@ -38,12 +38,16 @@
         Self { claim_id, row_key, base }
     }
 
-    /// The release that `trace` asks for, if any.
-    pub(super) fn for_trace(claim_id: ClaimId, row_key: RowKey, trace: ClaimTrace) -> Option<Self> {
-        match trace {
-            ClaimTrace::None => None,
-            ClaimTrace::InDoubt(base) => Some(Self::new(claim_id, row_key, base)),
-            ClaimTrace::Standing(version) => {
+    /// The release that `effect` asks for, if any.
+    pub(super) fn for_effect(
+        claim_id: ClaimId,
+        row_key: RowKey,
+        effect: ClaimEffect,
+    ) -> Option<Self> {
+        match effect {
+            ClaimEffect::None => None,
+            ClaimEffect::InDoubt(base) => Some(Self::new(claim_id, row_key, base)),
+            ClaimEffect::Stored(version) => {
                 let base = RowVersion(version.0 - 1);
                 Some(Self::new(claim_id, row_key, (base.0 > 0).then_some(base)))
             }
@@ -62,7 +66,7 @@
             TableReply::Rows(rows) | TableReply::Conflict(rows) => {
                 self.on_row(RowView::of(&self.row_key, rows))
             }
-            TableReply::Unavailable | TableReply::Uncertain => ReleaseStep::Later,
+            TableReply::Unavailable | TableReply::Uncertain => ReleaseStep::Retry,
         }
     }
 
@@ -78,11 +82,11 @@
                 self.write_free(Some(version))
             }
             // The row has moved past the base: the claim's write can't take effect any more.
-            RowView::Present(..) | RowView::Foreign => ReleaseStep::Released,
+            RowView::Present(..) | RowView::Unreadable => ReleaseStep::Released,
         }
     }
 
     fn write_free(&self, base: Option<RowVersion>) -> ReleaseStep {
-        ReleaseStep::Ask(row_view::write(&self.row_key, base, &ClaimRecord::Free))
+        ReleaseStep::Send(row_view::write(&self.row_key, base, &ClaimRecord::Free))
     }
 }
--- a/crates/coltsfootroute/src/once/row_view.rs
+++ b/crates/coltsfootroute/src/once/row_view.rs
@@ -12,7 +12,7 @@
         /// The row, parsed.
         Present(RowVersion, ClaimRecord),
         /// The row holds something that this version can't read.
-        Foreign,
+        Unreadable,
     }
 }
 
@@ -24,7 +24,7 @@
         };
         match ClaimRecord::parse(&row.value) {
             Some(record) => Self::Present(row.version, record),
-            None => Self::Foreign,
+            None => Self::Unreadable,
         }
     }
 }
--- a/crates/coltsfootroute/src/once/store_errand.rs
+++ b/crates/coltsfootroute/src/once/store_task.rs
@@ -5,18 +5,18 @@
 
 record_type! {
     /// A request to be sent for a claim; its reply goes to
-    /// [`OnceGuard::on_errand_reply`](super::OnceGuard::on_errand_reply).
-    pub struct StoreErrand {
+    /// [`OnceGuard::on_task_reply`](super::OnceGuard::on_task_reply).
+    pub struct StoreTask {
         /// The claim.
         pub claim_id: ClaimId,
         /// The request.
-        pub request: ErrandRequest,
+        pub request: TaskRequest,
     }
 }
 
 record_type! {
     /// A request to the table service or to the object store.
-    pub enum ErrandRequest {
+    pub enum TaskRequest {
         /// To the table service.
         Table(TableRequest),
         /// Stores an object.
@@ -30,8 +30,8 @@
 }
 
 record_type! {
-    /// The reply to an [`ErrandRequest`].
-    pub enum ErrandReply {
+    /// The reply to an [`TaskRequest`].
+    pub enum TaskReply {
         /// From the table service.
         Table(TableReply),
         /// From the object store.
--- a/crates/coltsfootroute/tests/integration/once/decisions.rs
+++ b/crates/coltsfootroute/tests/integration/once/decisions.rs
@@ -5,7 +5,7 @@
 use coltsfootroute::{
     id::{Incarnation, NodeId},
     once::{
-        BodyDigest, BusyVerdict, ClaimHolder, ClaimId, ClaimNote, ClaimRecord, ClaimResult,
+        BodyDigest, BusyVerdict, ClaimDetails, ClaimHolder, ClaimId, ClaimRecord, ClaimResult,
         ClaimStep, ClaimTicket, DispatchVerdict, HolderAnswer, HolderView, OnceCall, OnceGuard,
         OnceSettings, WallTime,
     },
@@ -60,19 +60,19 @@
 
 #[test]
 fn old_ticket_lapses_before_its_deadline() {
-    let longest_ticket = Duration::from_millis(10);
-    let settings = OnceSettings { longest_ticket, ..OnceSettings::default() };
+    let max_ticket_age = Duration::from_millis(10);
+    let settings = OnceSettings { max_ticket_age, ..OnceSettings::default() };
     let mut guard = OnceGuard::new(holder(), settings);
     let ticket = claimed(&mut guard);
 
     let verdict = guard.dispatch(ticket, NOW + Duration::from_millis(11));
 
-    assert_eq!(verdict, DispatchVerdict::Lapsed);
+    assert_eq!(verdict, DispatchVerdict::Expired);
 }
 
 #[test]
 fn full_guard_refuses_before_the_claim_is_written() {
-    let settings = OnceSettings { most_open: 1, ..OnceSettings::default() };
+    let settings = OnceSettings { max_open_claims: 1, ..OnceSettings::default() };
     let mut guard = OnceGuard::new(holder(), settings);
     guard.begin(call("k1"), ClaimId(1), WallTime(0));
 
@@ -89,7 +89,7 @@
     BusyVerdict::Refuse(CallOutcome::NotRun)
 )]
 #[case(HolderView::Answered(HolderAnswer::Running), BusyVerdict::Refuse(CallOutcome::Unknown))]
-#[case(HolderView::Answered(HolderAnswer::NotMine), BusyVerdict::TryAgain)]
+#[case(HolderView::Answered(HolderAnswer::NotMine), BusyVerdict::Retry)]
 #[case(HolderView::Ended, BusyVerdict::Refuse(CallOutcome::Unknown))]
 #[case(HolderView::Unreachable, BusyVerdict::Refuse(CallOutcome::Unknown))]
 fn only_the_holder_says_that_a_claim_never_ran(
@@ -101,7 +101,7 @@
 
 #[test]
 fn records_survive_their_text() {
-    let claim = ClaimNote {
+    let claim = ClaimDetails {
         claim_id: ClaimId(7),
         holder: holder(),
         body_digest: BodyDigest::of(b"pay 10"),
--- a/crates/coltsfootroute/tests/integration/once/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/once/fuzz.rs
@@ -8,7 +8,7 @@
 
 use crate::util::{
     fuzz_config::fuzz_config,
-    once_world::{OnceWorld, RETENTION, StoreFate},
+    once_world::{OnceWorld, RETENTION, StoreBehavior},
 };
 
 const GUARDS: usize = 3;
@@ -23,13 +23,13 @@
 #[derive(Clone, Debug)]
 enum OnceTransition {
     Begin { guard: usize, key: usize, body: usize },
-    Deliver { pick: usize, fate: StoreFate },
-    LandLate,
+    Deliver { pick: usize, behavior: StoreBehavior },
+    ApplyLateWrites,
     Dispatch { pick: usize },
     Finish { pick: usize, is_long: bool },
     Interrupt { pick: usize },
     Cancel { pick: usize },
-    Errands { guard: usize },
+    SendTasks { guard: usize },
     Restart { guard: usize },
     Advance { millis: u64 },
     Expire,
@@ -49,29 +49,29 @@
     }
 
     fn transitions(_: &bool) -> BoxedStrategy<OnceTransition> {
-        let fate = prop_oneof![
-            6 => Just(StoreFate::Up),
-            2 => Just(StoreFate::AckLost),
-            1 => Just(StoreFate::Lost),
-            2 => Just(StoreFate::Late),
-            1 => Just(StoreFate::Down),
+        let behavior = prop_oneof![
+            6 => Just(StoreBehavior::Up),
+            2 => Just(StoreBehavior::AckLost),
+            1 => Just(StoreBehavior::Lost),
+            2 => Just(StoreBehavior::Late),
+            1 => Just(StoreBehavior::Down),
         ];
         let (guard, pick) = (0..GUARDS, 0_usize..8);
-        // Mostly the same key and body: that is where they meet.
+        // Mostly the same key and body: that is where they reply_to.
         let key = prop_oneof![4 => Just(0_usize), 1 => Just(1_usize)];
         let body = prop_oneof![8 => Just(0_usize), 1 => Just(1_usize)];
         prop_oneof![
             10 => (guard.clone(), key, body)
                 .prop_map(|(guard, key, body)| OnceTransition::Begin { guard, key, body }),
-            30 => (pick.clone(), fate)
-                .prop_map(|(pick, fate)| OnceTransition::Deliver { pick, fate }),
-            3 => Just(OnceTransition::LandLate),
+            30 => (pick.clone(), behavior)
+                .prop_map(|(pick, behavior)| OnceTransition::Deliver { pick, behavior }),
+            3 => Just(OnceTransition::ApplyLateWrites),
             6 => pick.clone().prop_map(|pick| OnceTransition::Dispatch { pick }),
             4 => (pick.clone(), any::<bool>())
                 .prop_map(|(pick, is_long)| OnceTransition::Finish { pick, is_long }),
             1 => pick.clone().prop_map(|pick| OnceTransition::Interrupt { pick }),
             4 => pick.prop_map(|pick| OnceTransition::Cancel { pick }),
-            10 => guard.clone().prop_map(|guard| OnceTransition::Errands { guard }),
+            10 => guard.clone().prop_map(|guard| OnceTransition::SendTasks { guard }),
             1 => guard.prop_map(|guard| OnceTransition::Restart { guard }),
             4 => (1_u64..700).prop_map(|millis| OnceTransition::Advance { millis }),
             1 => Just(OnceTransition::Expire),
@@ -106,11 +106,11 @@
             OnceTransition::Begin { guard, key, body } => {
                 world.begin(guard, KEYS[key], BODIES[body]);
             }
-            OnceTransition::Deliver { pick, fate } if !world.flights.is_empty() => {
-                world.deliver(pick % world.flights.len(), fate);
+            OnceTransition::Deliver { pick, behavior } if !world.pending_requests.is_empty() => {
+                world.deliver(pick % world.pending_requests.len(), behavior);
             }
             OnceTransition::Deliver { .. } => {}
-            OnceTransition::LandLate => world.land_late(),
+            OnceTransition::ApplyLateWrites => world.apply_late_writes(),
             OnceTransition::Dispatch { pick } => {
                 if let Some(claim_id) = nth(world.tickets.keys(), pick) {
                     world.dispatch(claim_id);
@@ -131,7 +131,7 @@
                     world.cancel(claim_id);
                 }
             }
-            OnceTransition::Errands { guard } => world.send_errands(guard),
+            OnceTransition::SendTasks { guard } => world.send_tasks(guard),
             OnceTransition::Restart { guard } => world.restart(guard),
             OnceTransition::Advance { millis } => world.advance(Duration::from_millis(millis)),
             OnceTransition::Expire => world.advance(RETENTION),
@@ -160,7 +160,7 @@
             let claim_id = world.begin(0, key, BODIES[0]);
             world.settle();
             let attempt = &world.attempts[&claim_id];
-            assert_eq!(attempt.was_dispatched, may_run, "{record:?}: {:?}", attempt.told);
+            assert_eq!(attempt.was_dispatched, may_run, "{record:?}: {:?}", attempt.reported);
         }
     }
 }
--- a/crates/coltsfootroute/tests/integration/once/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/once/scenarios.rs
@@ -6,21 +6,21 @@
 use datadriven::{TestCase, walk_exclusive};
 use indexmap::IndexMap;
 
-use crate::util::once_world::{OnceWorld, RETENTION, StoreFate};
+use crate::util::once_world::{OnceWorld, RETENTION, StoreBehavior};
 
 struct ScenarioRun {
     world: OnceWorld,
     calls: IndexMap<String, ClaimId>,
 }
 
-fn fate_of(text: &str) -> StoreFate {
+fn parse_behavior(text: &str) -> StoreBehavior {
     match text {
-        "up" => StoreFate::Up,
-        "ack-lost" => StoreFate::AckLost,
-        "lost" => StoreFate::Lost,
-        "late" => StoreFate::Late,
-        "down" => StoreFate::Down,
-        _ => panic!("unknown fate {text}"),
+        "up" => StoreBehavior::Up,
+        "ack-lost" => StoreBehavior::AckLost,
+        "lost" => StoreBehavior::Lost,
+        "late" => StoreBehavior::Late,
+        "down" => StoreBehavior::Down,
+        _ => panic!("unknown behavior {text}"),
     }
 }
 
@@ -44,7 +44,7 @@
             "interrupt" => self.act(case, OnceWorld::interrupt),
             "cancel" => self.act(case, OnceWorld::cancel),
             "told" => self.act(case, |_, _| {}),
-            "errands" => self.errands(case),
+            "errands" => self.tasks(case),
             "kill" => {
                 let guard = guard_of(case);
                 self.world.restart(guard);
@@ -64,7 +64,7 @@
                 "swept".to_owned()
             }
             "land-late" => {
-                self.world.land_late();
+                self.world.apply_late_writes();
                 "landed".to_owned()
             }
             "key" => self.key(case),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Begins a call and lets the store meet its requests one after the other, `up` after those named.
+    /// Begins a call and lets the store reply_to its requests one after the other, `up` after those named.
     fn call(&mut self, case: &mut TestCase) -> String {
         let name: String = case.take_arg("as").expect("as");
         let key: String = case.take_arg("key").expect("key");
@@ -83,23 +83,24 @@
         if case.take_flag("in-flight").expect("in-flight") {
             return self.state(claim_id);
         }
-        self.meet_all(case);
+        self.deliver_all(case);
         self.state(claim_id)
     }
 
-    fn errands(&mut self, case: &mut TestCase) -> String {
+    fn tasks(&mut self, case: &mut TestCase) -> String {
         let guard = guard_of(case);
-        self.world.send_errands(guard);
-        self.meet_all(case);
+        self.world.send_tasks(guard);
+        self.deliver_all(case);
         let guard = &self.world.guards[guard];
         format!("{} to release, {} to store", guard.abandoned_claims(), guard.unstored_answers())
     }
 
-    fn meet_all(&mut self, case: &mut TestCase) {
-        let fates: Vec<String> = case.try_take_args("store").expect("store").unwrap_or_default();
-        let mut fates = fates.iter().map(|text| fate_of(text));
-        while !self.world.flights.is_empty() {
-            self.world.deliver(0, fates.next().unwrap_or(StoreFate::Up));
+    fn deliver_all(&mut self, case: &mut TestCase) {
+        let behaviors: Vec<String> =
+            case.try_take_args("store").expect("store").unwrap_or_default();
+        let mut behaviors = behaviors.iter().map(|text| parse_behavior(text));
+        while !self.world.pending_requests.is_empty() {
+            self.world.deliver(0, behaviors.next().unwrap_or(StoreBehavior::Up));
         }
     }
 
@@ -112,8 +113,8 @@
 
     fn state(&self, claim_id: ClaimId) -> String {
         let attempt = &self.world.attempts[&claim_id];
-        match &attempt.told {
-            Some(told) => format!("told {told}"),
+        match &attempt.reported {
+            Some(reported) => format!("told {reported}"),
             None if self.world.runs.contains_key(&claim_id) => "running".to_owned(),
             None if self.world.tickets.contains_key(&claim_id) => "claimed".to_owned(),
             None => "claiming".to_owned(),
--- a/crates/coltsfootroute/tests/integration/util/once_world.rs
+++ b/crates/coltsfootroute/tests/integration/util/once_world.rs
@@ -6,10 +6,10 @@
     id::{Incarnation, NodeId},
     name::{OperationName, ServiceName},
     once::{
-        AnswerBody, BodyDigest, BusyVerdict, ClaimHolder, ClaimId, ClaimNote, ClaimRecord,
-        ClaimResult, ClaimRun, ClaimStep, ClaimTicket, ClientKey, DispatchVerdict, ErrandReply,
-        ErrandRequest, HolderView, OnceCall, OnceGuard, OnceKey, OnceSettings, RecordSweeper,
-        RunAnswer, StoredAnswer, SweepStep, WallTime,
+        AnswerBody, BodyDigest, BusyVerdict, ClaimDetails, ClaimHolder, ClaimId, ClaimRecord,
+        ClaimResult, ClaimRun, ClaimStep, ClaimTicket, ClientKey, DispatchVerdict, HolderView,
+        OnceCall, OnceGuard, OnceKey, OnceSettings, RecordSweeper, RunAnswer, StoredAnswer,
+        SweepStep, TaskReply, TaskRequest, WallTime,
     },
     outcome::CallOutcome,
     table::{MemoryTable, ObjectReply, TableReply, TableRequest},
@@ -20,17 +20,17 @@
 pub const DEADLINE: Duration = Duration::from_millis(500);
 pub const RETENTION: Duration = Duration::from_secs(3_600);
 /// Bodies above this go to the object store.
-pub const MOST_INLINE: usize = 40;
+pub const MAX_INLINE_BYTES: usize = 40;
 
 /// What becomes of one request to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StoreFate {
+pub enum StoreBehavior {
     Up,
     /// It takes effect; its answer is lost.
     AckLost,
     /// It never arrives and nobody learns so.
     Lost,
-    /// No answer; it takes effect at a later `land_late`.
+    /// No answer; it takes effect at a later `apply_late_writes`.
     Late,
     /// Refused.
     Down,
@@ -38,12 +38,12 @@
 
 /// A request to the store on its way.
 #[derive(Clone, Debug)]
-pub struct StoreFlight {
+pub struct PendingRequest {
     pub guard: usize,
     incarnation: Incarnation,
     pub claim_id: ClaimId,
-    is_errand: bool,
-    request: ErrandRequest,
+    is_task: bool,
+    request: TaskRequest,
 }
 
 /// One call to a guard and what came of it.
@@ -53,7 +53,7 @@
     key: OnceKey,
     body_digest: BodyDigest,
     deadline: MonotonicTime,
-    pub told: Option<String>,
+    pub reported: Option<String>,
     outcome: Option<CallOutcome>,
     pub was_dispatched: bool,
 }
@@ -69,8 +69,8 @@
     objects: IndexMap<String, Vec<u8>>,
     pub guards: Vec<OnceGuard>,
     incarnations: Vec<Incarnation>,
-    pub flights: Vec<StoreFlight>,
-    late: Vec<ErrandRequest>,
+    pub pending_requests: Vec<PendingRequest>,
+    late: Vec<TaskRequest>,
     pub tickets: IndexMap<ClaimId, ClaimTicket>,
     pub runs: IndexMap<ClaimId, ClaimRun>,
     pub attempts: IndexMap<ClaimId, CallAttempt>,
@@ -100,7 +100,7 @@
             objects: IndexMap::new(),
             guards: Vec::new(),
             incarnations: vec![Incarnation(1); guards],
-            flights: Vec::new(),
+            pending_requests: Vec::new(),
             late: Vec::new(),
             tickets: IndexMap::new(),
             runs: IndexMap::new(),
@@ -117,7 +117,8 @@
 
     fn new_guard(&self, index: usize) -> OnceGuard {
         let holder = ClaimHolder { node: node(index), incarnation: self.incarnations[index] };
-        let settings = OnceSettings { most_inline: MOST_INLINE, ..OnceSettings::default() };
+        let settings =
+            OnceSettings { max_inline_bytes: MAX_INLINE_BYTES, ..OnceSettings::default() };
         OnceGuard::new(holder, settings)
     }
 
@@ -131,7 +132,7 @@
             key: key.clone(),
             body_digest,
             deadline,
-            told: None,
+            reported: None,
             outcome: None,
             was_dispatched: false,
         };
@@ -142,58 +143,58 @@
         claim_id
     }
 
-    /// Lets `fate` meet the flight at `index` and hands the reply to its guard, if that still lives.
-    pub fn deliver(&mut self, index: usize, fate: StoreFate) {
-        let flight = self.flights.remove(index);
-        let reply = self.meet(&flight.request, fate);
-        if self.incarnations[flight.guard] != flight.incarnation {
+    /// Lets `behavior` reply_to the pending at `index` and hands the reply to its guard, if that still lives.
+    pub fn deliver(&mut self, index: usize, behavior: StoreBehavior) {
+        let pending = self.pending_requests.remove(index);
+        let reply = self.reply_to(&pending.request, behavior);
+        if self.incarnations[pending.guard] != pending.incarnation {
             return;
         }
-        let guard = &mut self.guards[flight.guard];
-        if flight.is_errand {
-            if let Some(errand) = guard.on_errand_reply(flight.claim_id, &reply, self.now) {
-                self.send(flight.claim_id, true, errand.request);
+        let guard = &mut self.guards[pending.guard];
+        if pending.is_task {
+            if let Some(task) = guard.on_task_reply(pending.claim_id, &reply, self.now) {
+                self.send(pending.claim_id, true, task.request);
             }
             return;
         }
-        let ErrandReply::Table(reply) = reply else { unreachable!("claims use the table only") };
-        if let Some(step) = guard.on_reply(flight.claim_id, &reply, self.now) {
-            self.on_step(flight.claim_id, step);
+        let TaskReply::Table(reply) = reply else { unreachable!("claims use the table only") };
+        if let Some(step) = guard.on_reply(pending.claim_id, &reply, self.now) {
+            self.on_step(pending.claim_id, step);
         }
     }
 
-    fn meet(&mut self, request: &ErrandRequest, fate: StoreFate) -> ErrandReply {
-        let reply = match fate {
-            StoreFate::Up => return self.store(request),
-            StoreFate::AckLost => {
+    fn reply_to(&mut self, request: &TaskRequest, behavior: StoreBehavior) -> TaskReply {
+        let reply = match behavior {
+            StoreBehavior::Up => return self.store(request),
+            StoreBehavior::AckLost => {
                 self.store(request);
                 TableReply::Uncertain
             }
-            StoreFate::Late => {
+            StoreBehavior::Late => {
                 self.late.push(request.clone());
                 TableReply::Uncertain
             }
-            StoreFate::Lost => TableReply::Uncertain,
-            StoreFate::Down => TableReply::Unavailable,
+            StoreBehavior::Lost => TableReply::Uncertain,
+            StoreBehavior::Down => TableReply::Unavailable,
         };
         match (request, reply) {
-            (ErrandRequest::Table(_), reply) => ErrandReply::Table(reply),
-            (ErrandRequest::PutObject { .. }, _) => ErrandReply::Object(ObjectReply::Uncertain),
+            (TaskRequest::Table(_), reply) => TaskReply::Table(reply),
+            (TaskRequest::PutObject { .. }, _) => TaskReply::Object(ObjectReply::Uncertain),
         }
     }
 
-    fn store(&mut self, request: &ErrandRequest) -> ErrandReply {
+    fn store(&mut self, request: &TaskRequest) -> TaskReply {
         match request {
-            ErrandRequest::Table(request) => ErrandReply::Table(self.table.apply(request)),
-            ErrandRequest::PutObject { name, body } => {
+            TaskRequest::Table(request) => TaskReply::Table(self.table.apply(request)),
+            TaskRequest::PutObject { name, body } => {
                 self.objects.insert(name.clone(), body.clone());
-                ErrandReply::Object(ObjectReply::Stored)
+                TaskReply::Object(ObjectReply::Stored)
             }
         }
     }
 
     /// The writes whose answers nobody waits for any more take effect now.
-    pub fn land_late(&mut self) {
+    pub fn apply_late_writes(&mut self) {
         for request in std::mem::take(&mut self.late) {
             self.store(&request);
         }
@@ -201,8 +202,8 @@
 
     fn on_step(&mut self, claim_id: ClaimId, step: ClaimStep) {
         let result = match step {
-            ClaimStep::Ask(request) => {
-                return self.send(claim_id, false, ErrandRequest::Table(request));
+            ClaimStep::Send(request) => {
+                return self.send(claim_id, false, TaskRequest::Table(request));
             }
             ClaimStep::Done(result) => result,
         };
@@ -213,18 +214,26 @@
             }
             (_, ClaimResult::Replay(answer)) => self.replay(claim_id, &answer),
             (_, ClaimResult::Busy(claim)) => self.on_busy(claim_id, &claim),
-            (outcome, _) => self.tell(claim_id, outcome.expect("a result but dispatch"), &reason),
+            (outcome, _) => {
+                self.record_outcome(claim_id, outcome.expect("a result but dispatch"), &reason)
+            }
         }
     }
 
-    fn send(&mut self, claim_id: ClaimId, is_errand: bool, request: ErrandRequest) {
+    fn send(&mut self, claim_id: ClaimId, is_task: bool, request: TaskRequest) {
         let guard = self.attempts[&claim_id].guard;
         let incarnation = self.incarnations[guard];
-        self.flights.push(StoreFlight { guard, incarnation, claim_id, is_errand, request });
+        self.pending_requests.push(PendingRequest {
+            guard,
+            incarnation,
+            claim_id,
+            is_task,
+            request,
+        });
     }
 
     /// Asks the holder, as a guard does that finds a claim in its way.
-    fn on_busy(&mut self, claim_id: ClaimId, claim: &ClaimNote) {
+    fn on_busy(&mut self, claim_id: ClaimId, claim: &ClaimDetails) {
         let holder = (0..self.guards.len()).find(|index| node(*index) == claim.holder.node);
         let holder = holder.expect("a guard of this world");
         let view = if self.incarnations[holder] == claim.holder.incarnation {
@@ -233,13 +242,16 @@
             HolderView::Ended
         };
         let outcome = match BusyVerdict::of(view) {
-            BusyVerdict::TryAgain => CallOutcome::Unknown,
+            BusyVerdict::Retry => CallOutcome::Unknown,
             BusyVerdict::Refuse(outcome) => outcome,
         };
         if outcome == CallOutcome::NotRun {
-            assert!(!self.attempts[&claim.claim_id].was_dispatched, "the holder told a lie");
+            assert!(
+                !self.attempts[&claim.claim_id].was_dispatched,
+                "the holder denied a dispatch that took place"
+            );
         }
-        self.tell(claim_id, outcome, &format!(" busy ({view:?})"));
+        self.record_outcome(claim_id, outcome, &format!(" busy ({view:?})"));
     }
 
     fn replay(&mut self, claim_id: ClaimId, answer: &StoredAnswer) {
@@ -252,17 +264,17 @@
         assert_eq!(body, first.answer, "another answer than the first");
         assert_eq!(attempt.body_digest, first.request, "the answer to another body");
         let text = format!(" replay of {}", String::from_utf8_lossy(&body[..body.len().min(12)]));
-        self.tell(claim_id, CallOutcome::Completed, &text);
+        self.record_outcome(claim_id, CallOutcome::Completed, &text);
     }
 
-    fn tell(&mut self, claim_id: ClaimId, outcome: CallOutcome, detail: &str) {
+    fn record_outcome(&mut self, claim_id: ClaimId, outcome: CallOutcome, detail: &str) {
         let attempt = &mut self.attempts[&claim_id];
-        assert_eq!(attempt.told, None, "one request answered twice");
+        assert_eq!(attempt.reported, None, "one request answered twice");
         if outcome == CallOutcome::NotRun {
-            assert!(!attempt.was_dispatched, "told not-run after its dispatch");
+            assert!(!attempt.was_dispatched, "reported not-run after its dispatch");
         }
         attempt.outcome = Some(outcome);
-        attempt.told = Some(format!("{outcome}{detail}"));
+        attempt.reported = Some(format!("{outcome}{detail}"));
     }
 
     pub fn dispatch(&mut self, claim_id: ClaimId) {
@@ -273,15 +285,17 @@
                 self.runs.insert(claim_id, run);
                 self.count_run(claim_id);
             }
-            DispatchVerdict::Lapsed => self.tell(claim_id, CallOutcome::NotRun, " deadline"),
+            DispatchVerdict::Expired => {
+                self.record_outcome(claim_id, CallOutcome::NotRun, " deadline")
+            }
         }
     }
 
-    /// The oracle: at most one run a key, none after `not-run` was told or the caller gave up.
+    /// The oracle: at most one run a key, none after `not-run` was reported or the caller gave up.
     fn count_run(&mut self, claim_id: ClaimId) {
         let attempt = &mut self.attempts[&claim_id];
         attempt.was_dispatched = true;
-        assert_ne!(attempt.outcome, Some(CallOutcome::NotRun), "ran after not-run was told");
+        assert_ne!(attempt.outcome, Some(CallOutcome::NotRun), "ran after not-run was reported");
         assert!(self.now < attempt.deadline, "ran past its deadline");
         let count = self.run_counts.entry(attempt.key.clone()).or_default();
         *count += 1;
@@ -297,20 +311,20 @@
         self.first_answers.insert(attempt.key.clone(), first);
         let answer = RunAnswer { status: 200, headers: Vec::new(), body };
         self.guards[attempt.guard].finish(run, answer, self.now);
-        self.tell(claim_id, CallOutcome::Completed, &format!(" answer-{}", claim_id.0));
+        self.record_outcome(claim_id, CallOutcome::Completed, &format!(" answer-{}", claim_id.0));
     }
 
     pub fn interrupt(&mut self, claim_id: ClaimId) {
         let Some(run) = self.runs.swap_remove(&claim_id) else { return };
         let guard = self.attempts[&claim_id].guard;
         self.guards[guard].interrupt(run, self.now);
-        self.tell(claim_id, CallOutcome::Unknown, " cut off");
+        self.record_outcome(claim_id, CallOutcome::Unknown, " cut off");
     }
 
     /// The caller goes away, or the guard gives the request up, before its dispatch.
     pub fn cancel(&mut self, claim_id: ClaimId) {
         let attempt = &self.attempts[&claim_id];
-        if attempt.told.is_some() || attempt.was_dispatched {
+        if attempt.reported.is_some() || attempt.was_dispatched {
             return;
         }
         let guard = &mut self.guards[attempt.guard];
@@ -318,13 +332,13 @@
             Some(ticket) => guard.abandon(ticket, self.now),
             None => guard.cancel(claim_id, self.now),
         }
-        self.tell(claim_id, CallOutcome::NotRun, " cancelled");
+        self.record_outcome(claim_id, CallOutcome::NotRun, " cancelled");
     }
 
-    /// Puts the guard's errands that are due on their way.
-    pub fn send_errands(&mut self, guard: usize) {
-        while let Some(errand) = self.guards[guard].next_errand(self.now) {
-            self.send(errand.claim_id, true, errand.request);
+    /// Puts the guard's tasks that are due on their way.
+    pub fn send_tasks(&mut self, guard: usize) {
+        while let Some(task) = self.guards[guard].next_task(self.now) {
+            self.send(task.claim_id, true, task.request);
         }
     }
 
@@ -335,17 +349,17 @@
         let attempts = &self.attempts;
         self.tickets.retain(|claim_id, _| attempts[claim_id].guard != guard);
         self.runs.retain(|claim_id, _| attempts[claim_id].guard != guard);
-        for index in (0..self.flights.len()).rev() {
-            if self.flights[index].guard == guard {
-                self.late.push(self.flights.remove(index).request);
+        for index in (0..self.pending_requests.len()).rev() {
+            if self.pending_requests[index].guard == guard {
+                self.late.push(self.pending_requests.remove(index).request);
             }
         }
-        let untold =
-            self.attempts.iter().filter(|(_, call)| call.guard == guard && call.told.is_none());
-        let untold: Vec<ClaimId> = untold.map(|(claim_id, _)| *claim_id).collect();
-        for claim_id in untold {
+        let unreported =
+            self.attempts.iter().filter(|(_, call)| call.guard == guard && call.reported.is_none());
+        let unreported: Vec<ClaimId> = unreported.map(|(claim_id, _)| *claim_id).collect();
+        for claim_id in unreported {
             // The ingress node sees the connection break and can't know more.
-            self.tell(claim_id, CallOutcome::Unknown, " guard lost");
+            self.record_outcome(claim_id, CallOutcome::Unknown, " guard lost");
         }
     }
 
@@ -361,7 +375,7 @@
         loop {
             let reply = self.table.apply(&request);
             match sweeper.on_reply(&reply) {
-                SweepStep::Ask(next) => request = next,
+                SweepStep::Send(next) => request = next,
                 SweepStep::Done { objects } => {
                     self.objects.retain(|name, _| !objects.contains(name));
                     return;
@@ -370,12 +384,12 @@
         }
     }
 
-    /// Everything settles with the store up: late writes land, tickets and runs end, errands are done.
+    /// Everything settles with the store up: late writes land, tickets and runs end, tasks are done.
     pub fn settle(&mut self) {
-        self.land_late();
+        self.apply_late_writes();
         loop {
-            while !self.flights.is_empty() {
-                self.deliver(0, StoreFate::Up);
+            while !self.pending_requests.is_empty() {
+                self.deliver(0, StoreBehavior::Up);
             }
             while let Some(claim_id) = self.tickets.keys().next().copied() {
                 self.dispatch(claim_id);
@@ -384,8 +398,8 @@
                 self.finish(claim_id, 0);
             }
             self.advance(Duration::from_secs(1));
-            (0..self.guards.len()).for_each(|guard| self.send_errands(guard));
-            if self.flights.is_empty() {
+            (0..self.guards.len()).for_each(|guard| self.send_tasks(guard));
+            if self.pending_requests.is_empty() {
                 return;
             }
         }
