--- a/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
@@ -6,7 +6,7 @@
 use coltsfootroute::{
     id::{NodeId, RequestId},
     name::TeamName,
-    quarantine::QuarantineNews,
+    quarantine::QuarantineUpdate,
     quota::CreditGrant,
 };
 use rand::SeedableRng;
@@ -116,9 +116,9 @@
         self.ingress.take_own_token(request, take_id)
     }
 
-    fn hear_quarantine(&self, news: QuarantineNews, wants_all: bool) -> QuarantineNews {
+    fn hear_quarantine(&self, news: QuarantineUpdate, wants_all: bool) -> QuarantineUpdate {
         self.quarantine.hear(news);
-        if wants_all { self.quarantine.all() } else { QuarantineNews::default() }
+        if wants_all { self.quarantine.all() } else { QuarantineUpdate::default() }
     }
 
     fn take_credit(&self, asker: NodeId, team: &TeamName, wish: CreditWish) -> Option<CreditGrant> {
--- a/crates/coltsfoot-node/src/dispatch/guard/cut_calls.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/cut_calls.rs
@@ -5,7 +5,7 @@
 use coltsfootroute::{
     id::RequestId,
     membership::InstanceName,
-    quarantine::{CrashId, MOST_SUSPECTS, RequestFingerprint},
+    quarantine::{CrashId, MAX_SUSPECTS, RequestFingerprint},
     time::MonotonicTime,
 };
 
@@ -29,7 +29,7 @@
     pub(super) instance: Option<InstanceName>,
     /// When the first broke off.
     pub(super) since: MonotonicTime,
-    /// The calls. Invariant: at most [`MOST_SUSPECTS`].
+    /// The calls. Invariant: at most [`MAX_SUSPECTS`].
     pub(super) calls: Vec<CutCall>,
     /// All of them, those left out too.
     pub(super) count: u32,
@@ -41,7 +41,7 @@
     /// Adds a call; returns whether it is among those told.
     pub(super) fn add(&mut self, call: CutCall) -> bool {
         self.count += 1;
-        let is_told = self.calls.len() < MOST_SUSPECTS;
+        let is_told = self.calls.len() < MAX_SUSPECTS;
         if is_told {
             self.calls.push(call);
         }
--- a/crates/coltsfoot-node/src/dispatch/guard/end_watch.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/end_watch.rs
@@ -82,7 +82,7 @@
     /// The upstream has answered a call, whatever it says: the call did not end it.
     pub(super) fn note_answered(self: &Rc<Self>, call: &CallRequest, span: &CallSpan) {
         let content = content_of(call);
-        self.answered.borrow_mut().note(self.context.now(), &content.parts());
+        self.answered.borrow_mut().record(self.context.now(), &content.parts());
         self.quarantine.note_answer(|| span.fingerprint(content));
     }
 
--- a/crates/coltsfoot-node/src/dispatch/links/peer_handler.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/peer_handler.rs
@@ -6,7 +6,7 @@
 use coltsfootroute::{
     id::{NodeId, RequestId},
     name::TeamName,
-    quarantine::QuarantineNews,
+    quarantine::QuarantineUpdate,
     quota::CreditGrant,
 };
 
@@ -37,7 +37,7 @@
     fn take_token(&self, request: RequestId, take_id: u64) -> TokenAnswer;
 
     /// Takes in news of ended upstreams; returns all that this node knows of them if `wants_all`.
-    fn hear_quarantine(&self, news: QuarantineNews, wants_all: bool) -> QuarantineNews;
+    fn hear_quarantine(&self, news: QuarantineUpdate, wants_all: bool) -> QuarantineUpdate;
 
     /// Gives out credit of `team`; `None` if another node owns it.
     fn take_credit(&self, asker: NodeId, team: &TeamName, wish: CreditWish) -> Option<CreditGrant>;
--- a/crates/coltsfoot-node/src/dispatch/links/quarantine_desk.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/quarantine_desk.rs
@@ -9,7 +9,7 @@
     membership::{MemberRecord, MemberState},
     name::ServiceName,
     quarantine::{
-        CrashId, CrashReport, QuarantineChange, QuarantineNews, QuarantineRegister,
+        CrashId, CrashReport, QuarantineChange, QuarantineRegister, QuarantineUpdate,
         QuarantineVerdict, RequestFingerprint, TrialClaim,
     },
     table::TokenBucket,
@@ -106,7 +106,7 @@
             return None;
         }
         let fingerprint = fingerprint();
-        match register.judge(self.context.now(), fingerprint) {
+        match register.verdict(self.context.now(), fingerprint) {
             QuarantineVerdict::Free => None,
             QuarantineVerdict::TrialDue => Some(HeldCall::TrialDue(fingerprint)),
             QuarantineVerdict::Held(wait) => {
@@ -122,10 +122,10 @@
     pub async fn claim_trial(&self, request: RequestId, fingerprint: RequestFingerprint) -> bool {
         let term = self.register.borrow().term(fingerprint);
         // Others that come meanwhile are held back.
-        self.note_trial(fingerprint, TrialClaim::Unanswered);
+        self.note_trial(fingerprint, TrialClaim::Unavailable);
         let claim = self.keeper.claim_trial(fingerprint, term).await;
         self.note_trial(fingerprint, claim);
-        let taken = claim == TrialClaim::Taken;
+        let taken = claim == TrialClaim::Granted;
         if taken {
             self.context.events.emit(EventKind::QuarantineTrial { request, fingerprint });
         }
@@ -134,7 +134,7 @@
 
     fn note_trial(&self, fingerprint: RequestFingerprint, claim: TrialClaim) {
         let now = self.context.now();
-        self.register.borrow_mut().note_trial(now, fingerprint, claim);
+        self.register.borrow_mut().record_trial(now, fingerprint, claim);
     }
 
     /// The upstream beside this node has ended with these requests under way.
@@ -151,7 +151,7 @@
         }
         drop(own);
         let report = CrashReport { crash, age: Duration::ZERO, suspects };
-        let news = QuarantineNews { crashes: vec![report], ..QuarantineNews::default() };
+        let news = QuarantineUpdate { crashes: vec![report], ..QuarantineUpdate::default() };
         self.take_news(news, FIRST_FANOUT);
     }
 
@@ -161,24 +161,24 @@
             return;
         }
         let now = self.context.now();
-        let note = self.register.borrow_mut().note_answer(now, fingerprint());
+        let note = self.register.borrow_mut().record_answer(now, fingerprint());
         if let Some(note) = note {
             let answers = vec![note];
             self.settle_changes();
-            self.tell(QuarantineNews { answers, ..QuarantineNews::default() }, FIRST_FANOUT);
+            self.tell(QuarantineUpdate { answers, ..QuarantineUpdate::default() }, FIRST_FANOUT);
         }
     }
 
     /// An operator lets a request go. Waits up to a bound until that is written down.
     pub async fn let_go(self: &Rc<Self>, fingerprint: RequestFingerprint) -> LetGoResult {
         let now = self.context.now();
-        if !self.register.borrow_mut().let_go(now, fingerprint) {
+        if !self.register.borrow_mut().release(now, fingerprint) {
             return LetGoResult::NotHeld;
         }
         self.own_suspects.borrow_mut().insert(fingerprint);
         self.settle_changes();
         let cases = self.register.borrow().cases(now);
-        self.tell(QuarantineNews { cases, ..QuarantineNews::default() }, FIRST_FANOUT);
+        self.tell(QuarantineUpdate { cases, ..QuarantineUpdate::default() }, FIRST_FANOUT);
         match self.keeper.await_written(fingerprint).await {
             true => LetGoResult::Kept,
             false => LetGoResult::Unkept,
@@ -186,18 +186,18 @@
     }
 
     /// All that is known.
-    pub fn all(&self) -> QuarantineNews {
+    pub fn all(&self) -> QuarantineUpdate {
         self.register.borrow().all(self.context.now())
     }
 
     /// Takes in what another node tells, and passes on what is new of it.
-    pub fn hear(self: &Rc<Self>, news: QuarantineNews) {
+    pub fn hear(self: &Rc<Self>, news: QuarantineUpdate) {
         self.take_news(news, NEXT_FANOUT);
     }
 
     /// Asks `peer` for all that it knows: what it holds back differs from what this node does.
     pub async fn pull(self: Rc<Self>, peer: NodeId) {
-        let nothing = QuarantineNews::default();
+        let nothing = QuarantineUpdate::default();
         let asked = timeout(TELL_TIMEOUT, self.exchange(peer, &nothing, true)).await;
         if let Ok(Some(news)) = asked {
             self.hear(news);
@@ -217,11 +217,11 @@
     /// Reads the cases that stand in the table service, then writes down those of this node as they come.
     pub async fn keep_cases(self: Rc<Self>) {
         let cases = self.keeper.read_cases().await;
-        self.hear(QuarantineNews { cases, ..QuarantineNews::default() });
+        self.hear(QuarantineUpdate { cases, ..QuarantineUpdate::default() });
         self.keeper.write_cases().await;
     }
 
-    fn take_news(self: &Rc<Self>, news: QuarantineNews, fanout: usize) {
+    fn take_news(self: &Rc<Self>, news: QuarantineUpdate, fanout: usize) {
         let now = self.context.now();
         let fresh = self.register.borrow_mut().merge(now, news);
         self.settle_changes();
@@ -230,7 +230,7 @@
 
     /// Tells the journal, the metrics and the gossip duty of cases that changed, and notes those to write down.
     fn settle_changes(self: &Rc<Self>) {
-        let changes = self.register.borrow_mut().take_changes();
+        let changes = self.register.borrow_mut().drain_changes();
         if changes.is_empty() {
             return;
         }
@@ -258,7 +258,7 @@
         });
     }
 
-    fn tell(self: &Rc<Self>, mut news: QuarantineNews, fanout: usize) {
+    fn tell(self: &Rc<Self>, mut news: QuarantineUpdate, fanout: usize) {
         let now = self.context.now();
         let mut budget = self.crash_budget.borrow_mut();
         news.crashes.retain(|_| budget.take(now, 0.0, Duration::ZERO).is_some());
@@ -281,9 +281,9 @@
     async fn exchange(
         &self,
         peer: NodeId,
-        news: &QuarantineNews,
+        news: &QuarantineUpdate,
         wants_all: bool,
-    ) -> Option<QuarantineNews> {
+    ) -> Option<QuarantineUpdate> {
         let link = self.links.get(peer).await.ok()?;
         let mut request = link.client().tell_quarantine_request();
         request.get().set_wants_all(wants_all);
--- a/crates/coltsfoot-wire/src/peer/quarantine_news.rs
+++ b/crates/coltsfoot-wire/src/peer/quarantine_news.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootroute::quarantine::{
-    AnswerNote, CaseNote, CaseTerm, CrashId, CrashReport, QuarantineNews, RequestFingerprint,
+    AnswerNote, CaseNote, CaseTerm, CrashId, CrashReport, QuarantineUpdate, RequestFingerprint,
 };
 
 use crate::{
@@ -12,7 +12,7 @@
 };
 
 /// Writes news of ended upstreams.
-pub fn write_quarantine_news(news: &QuarantineNews, mut builder: quarantine_news::Builder<'_>) {
+pub fn write_quarantine_news(news: &QuarantineUpdate, mut builder: quarantine_news::Builder<'_>) {
     let mut crashes = builder.reborrow().init_crashes(length(&news.crashes));
     for (index, report) in (0..).zip(&news.crashes) {
         write_crash(report, crashes.reborrow().get(index));
@@ -39,8 +39,8 @@
 /// [`WireError`] if a list is malformed.
 pub fn read_quarantine_news(
     reader: quarantine_news::Reader<'_>,
-) -> Result<QuarantineNews, WireError> {
-    let mut news = QuarantineNews::default();
+) -> Result<QuarantineUpdate, WireError> {
+    let mut news = QuarantineUpdate::default();
     for report in reader.get_crashes()? {
         news.crashes.push(read_crash(report)?);
     }
--- a/crates/coltsfootroute/src/quarantine/crash_report.rs
+++ b/crates/coltsfootroute/src/quarantine/crash_report.rs
@@ -6,7 +6,7 @@
 
 /// Suspects named for one end at most: 2 KB. An upstream with more slots ends with more calls under way, but an end with so
 /// many suspects says little of each.
-pub const MOST_SUSPECTS: usize = 128;
+pub const MAX_SUSPECTS: usize = 128;
 
 record_type! {
     /// One end of an upstream, and which requests were under way there.
@@ -15,7 +15,7 @@
         pub crash: CrashId,
         /// How long ago it was: nodes share no clock.
         pub age: Duration,
-        /// What was under way and had not been answered there of late. Invariant: at most [`MOST_SUSPECTS`].
+        /// What was under way and had not been answered there of late. Invariant: at most [`MAX_SUSPECTS`].
         pub suspects: Vec<RequestFingerprint>,
     }
 }
--- a/crates/coltsfootroute/src/quarantine/quarantine_register.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_register.rs
@@ -6,7 +6,7 @@
 use twox_hash::XxHash3_64;
 
 use super::{
-    AnswerNote, CaseNote, CaseTerm, CrashId, CrashReport, MOST_SUSPECTS, QuarantineNews,
+    AnswerNote, CaseNote, CaseTerm, CrashId, CrashReport, MAX_SUSPECTS, QuarantineUpdate,
     QuarantineVerdict, RequestFingerprint, SuspectRecord, TrialClaim,
     quarantine_case::QuarantineCase,
 };
@@ -14,28 +14,28 @@
 
 /// Ends of upstreams at which a request has to be under way until it is held back. Two happen to what was cut off at one
 /// upstream and tried again at the next; the users bear three.
-const HELD_AFTER: usize = 3;
+const QUARANTINE_CRASHES: usize = 3;
 /// How long an end of an upstream speaks against what was under way there. Callers come back within minutes; what comes
 /// once an hour costs an upstream an hour.
-const CRASH_MEMORY: Duration = Duration::from_secs(600);
-/// Ends of upstreams kept: 260 KB with all their suspects. More within [`CRASH_MEMORY`] have another cause.
-const MOST_CRASHES: usize = 128;
+const CRASH_RETENTION: Duration = Duration::from_secs(600);
+/// Ends of upstreams kept: 260 KB with all their suspects. More within [`CRASH_RETENTION`] have another cause.
+const MAX_CRASHES: usize = 128;
 /// An answer clears a request of the ends before it, and of those up to so long after it: what a working upstream has just
 /// run does not end the next. A request that turns bad, by a release or by what is stored, is held back that much later.
-const ANSWER_MEMORY: Duration = Duration::from_secs(30);
+const ANSWER_VALIDITY: Duration = Duration::from_secs(30);
 /// Answers of suspects kept.
-const MOST_ANSWERS: usize = 4_096;
+const MAX_ANSWERS: usize = 4_096;
 /// How long a case stands, held or let go. After a day its service has been released anew, or the request is gone.
-const CASE_MEMORY: Duration = Duration::from_secs(24 * 3_600);
+const CASE_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 /// Cases kept, the newest: 100 KB. Each has cost somebody three upstreams.
-const MOST_CASES: usize = 1_024;
+const MAX_CASES: usize = 1_024;
 /// When one run of a request that is held back may show that it is innocent. It costs an upstream if it is not, so that
 /// there is one in all; callers of one that is have been turned away for a minute.
-const TRIAL_AFTER: Duration = Duration::from_secs(60);
+const TRIAL_DELAY: Duration = Duration::from_secs(60);
 /// Pause until the store is asked again for a trial that it could not grant.
-const CLAIM_PAUSE: Duration = Duration::from_secs(10);
+const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(10);
 /// When the caller of a request that is held back for long may ask again.
-const HELD_HINT: Duration = Duration::from_secs(60);
+const HELD_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 value_type! {
     /// A case that changed here.
@@ -55,10 +55,10 @@
 /// caused; what ended with it does not, or is answered elsewhere, which clears it. A request at three ends without an answer
 /// is held back by every node that hears of it, until an answer, a trial or an operator lets it go, or a day has passed.
 ///
-/// Nodes merge each other's news: reports are told apart by their end, and a case's higher term holds.
+/// Nodes merge each other's update: reports are told apart by their end, and a case's higher term holds.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineRegister {
-    /// When each known end was. Invariant: at most [`MOST_CRASHES`], and no end is forgotten before its suspects.
+    /// When each known end was. Invariant: at most [`MAX_CRASHES`], and no end is forgotten before its suspects.
     crashes: IndexMap<CrashId, MonotonicTime>,
     /// What speaks against whom. Invariant: names only ends in `crashes`.
     suspects: IndexMap<RequestFingerprint, SuspectRecord>,
@@ -80,15 +80,19 @@
     }
 
     /// Whether a request may be sent on.
-    pub fn judge(&self, now: MonotonicTime, fingerprint: RequestFingerprint) -> QuarantineVerdict {
+    pub fn verdict(
+        &self,
+        now: MonotonicTime,
+        fingerprint: RequestFingerprint,
+    ) -> QuarantineVerdict {
         let case = self.cases.get(&fingerprint).filter(|case| case.term.is_held());
-        let Some(case) = case.filter(|case| now.since(case.since) < CASE_MEMORY) else {
+        let Some(case) = case.filter(|case| now.since(case.since) < CASE_RETENTION) else {
             return QuarantineVerdict::Free;
         };
         match case.trial_at {
             Some(at) if at <= now => QuarantineVerdict::TrialDue,
             Some(at) => QuarantineVerdict::Held(at.since(now)),
-            None => QuarantineVerdict::Held(HELD_HINT),
+            None => QuarantineVerdict::Held(HELD_RETRY_AFTER),
         }
     }
 
@@ -98,51 +102,52 @@
     }
 
     /// Takes note of what became of a claim to make a request's trial.
-    pub fn note_trial(
+    pub fn record_trial(
         &mut self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
         claim: TrialClaim,
     ) {
         if let Some(case) = self.cases.get_mut(&fingerprint) {
-            case.trial_at = (claim == TrialClaim::Unanswered).then_some(now + CLAIM_PAUSE);
+            case.trial_at = (claim == TrialClaim::Unavailable).then_some(now + CLAIM_RETRY_DELAY);
         }
     }
 
     /// An upstream has answered the request; returns what is to be told if that clears it of something.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
     ) -> Option<AnswerNote> {
-        let is_news = self.suspects.contains_key(&fingerprint) || self.term(fingerprint).is_held();
+        let is_relevant =
+            self.suspects.contains_key(&fingerprint) || self.term(fingerprint).is_held();
         let note = AnswerNote { fingerprint, age: Duration::ZERO };
-        (is_news && self.take_answer(now, &note)).then_some(note)
+        (is_relevant && self.merge_answer(now, &note)).then_some(note)
     }
 
     /// An operator lets a request go; returns whether it was held back.
-    pub fn let_go(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) -> bool {
+    pub fn release(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) -> bool {
         let term = self.term(fingerprint);
         if !term.is_held() {
             return false;
         }
-        self.forget_suspect(fingerprint);
+        self.remove_suspect(fingerprint);
         self.set_case(now, fingerprint, term.next(), 0);
         true
     }
 
     /// Takes in what another node tells, or this one's guard; returns what of it was new.
-    pub fn merge(&mut self, now: MonotonicTime, news: QuarantineNews) -> QuarantineNews {
+    pub fn merge(&mut self, now: MonotonicTime, update: QuarantineUpdate) -> QuarantineUpdate {
         self.prune(now);
-        let QuarantineNews { mut crashes, mut answers, mut cases } = news;
-        answers.retain(|note| self.take_answer(now, note));
-        cases.retain(|note| self.take_case(now, note));
-        crashes.retain(|report| self.take_crash(now, report));
-        QuarantineNews { crashes, answers, cases }
+        let QuarantineUpdate { mut crashes, mut answers, mut cases } = update;
+        answers.retain(|note| self.merge_answer(now, note));
+        cases.retain(|note| self.merge_case(now, note));
+        crashes.retain(|report| self.merge_crash(now, report));
+        QuarantineUpdate { crashes, answers, cases }
     }
 
     /// Cases that changed since this was last asked.
-    pub fn take_changes(&mut self) -> Vec<QuarantineChange> {
+    pub fn drain_changes(&mut self) -> Vec<QuarantineChange> {
         std::mem::take(&mut self.changes)
     }
 
@@ -155,7 +160,7 @@
     }
 
     /// All that is known, for a node that knows less.
-    pub fn all(&self, now: MonotonicTime) -> QuarantineNews {
+    pub fn all(&self, now: MonotonicTime) -> QuarantineUpdate {
         let mut crashes: IndexMap<_, _> = self
             .crashes
             .iter()
@@ -163,7 +168,7 @@
             .collect();
         for (fingerprint, record) in &self.suspects {
             for crash in &record.crashes {
-                let report = crashes.get_mut(crash).filter(|it| it.suspects.len() < MOST_SUSPECTS);
+                let report = crashes.get_mut(crash).filter(|it| it.suspects.len() < MAX_SUSPECTS);
                 if let Some(report) = report {
                     report.suspects.push(*fingerprint);
                 }
@@ -173,7 +178,7 @@
             .answers
             .iter()
             .map(|(fingerprint, at)| AnswerNote { fingerprint: *fingerprint, age: now.since(*at) });
-        QuarantineNews {
+        QuarantineUpdate {
             crashes: crashes.into_values().filter(|it| !it.suspects.is_empty()).collect(),
             answers: answers.collect(),
             cases: self.cases(now),
@@ -190,19 +195,19 @@
         cases.collect()
     }
 
-    fn take_crash(&mut self, now: MonotonicTime, report: &CrashReport) -> bool {
+    fn merge_crash(&mut self, now: MonotonicTime, report: &CrashReport) -> bool {
         let at = now - report.age;
-        if report.age >= CRASH_MEMORY {
+        if report.age >= CRASH_RETENTION {
             return false;
         }
         if !self.crashes.contains_key(&report.crash) {
-            if self.crashes.len() >= MOST_CRASHES {
-                self.forget_oldest_crash();
+            if self.crashes.len() >= MAX_CRASHES {
+                self.remove_oldest_crash();
             }
             self.crashes.insert(report.crash, at);
         }
         let mut is_new = false;
-        for fingerprint in report.suspects.iter().take(MOST_SUSPECTS) {
+        for fingerprint in report.suspects.iter().take(MAX_SUSPECTS) {
             is_new |= self.suspect(now, *fingerprint, report.crash, at);
         }
         is_new
@@ -217,7 +222,7 @@
         at: MonotonicTime,
     ) -> bool {
         let answered = self.answers.get(&fingerprint);
-        if answered.is_some_and(|answered| at <= *answered + ANSWER_MEMORY) {
+        if answered.is_some_and(|answered| at <= *answered + ANSWER_VALIDITY) {
             return false;
         }
         let record = self.suspects.entry(fingerprint).or_default();
@@ -227,7 +232,7 @@
             return false;
         }
         let term = self.term(fingerprint);
-        if crashes >= HELD_AFTER && !term.is_held() {
+        if crashes >= QUARANTINE_CRASHES && !term.is_held() {
             self.set_case(
                 now,
                 fingerprint,
@@ -238,35 +243,35 @@
         true
     }
 
-    fn take_answer(&mut self, now: MonotonicTime, note: &AnswerNote) -> bool {
+    fn merge_answer(&mut self, now: MonotonicTime, note: &AnswerNote) -> bool {
         let at = now - note.age;
-        if note.age >= CRASH_MEMORY {
+        if note.age >= CRASH_RETENTION {
             return false;
         }
         let known = self.answers.get(&note.fingerprint).copied();
-        // Clocks of two nodes differ by the time that the news took.
+        // Clocks of two nodes differ by the time that the update took.
         if known.is_some_and(|known| at <= known + Duration::from_secs(1)) {
             return false;
         }
-        if self.answers.len() >= MOST_ANSWERS {
+        if self.answers.len() >= MAX_ANSWERS {
             self.answers.shift_remove_index(0);
         }
         self.answers.insert(note.fingerprint, at);
-        self.forget_suspect(note.fingerprint);
+        self.remove_suspect(note.fingerprint);
         let term = self.term(note.fingerprint);
         let held_since = self.cases.get(&note.fingerprint).map(|case| case.since);
-        if term.is_held() && held_since.is_some_and(|since| since <= at + ANSWER_MEMORY) {
+        if term.is_held() && held_since.is_some_and(|since| since <= at + ANSWER_VALIDITY) {
             self.set_case(now, note.fingerprint, term.next(), 0);
         }
         true
     }
 
-    fn take_case(&mut self, now: MonotonicTime, note: &CaseNote) -> bool {
-        if note.age >= CASE_MEMORY || note.term <= self.term(note.fingerprint) {
+    fn merge_case(&mut self, now: MonotonicTime, note: &CaseNote) -> bool {
+        if note.age >= CASE_RETENTION || note.term <= self.term(note.fingerprint) {
             return false;
         }
         if !note.term.is_held() {
-            self.forget_suspect(note.fingerprint);
+            self.remove_suspect(note.fingerprint);
         }
         self.set_case(now - note.age, note.fingerprint, note.term, 0);
         true
@@ -279,36 +284,36 @@
         term: CaseTerm,
         crashes: u32,
     ) {
-        if !self.cases.contains_key(&fingerprint) && self.cases.len() >= MOST_CASES {
+        if !self.cases.contains_key(&fingerprint) && self.cases.len() >= MAX_CASES {
             let oldest = self.cases.iter().min_by_key(|(_, case)| case.since);
             if let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) {
                 self.cases.swap_remove(&oldest);
             }
         }
-        let case = QuarantineCase { term, since, trial_at: Some(since + TRIAL_AFTER) };
+        let case = QuarantineCase { term, since, trial_at: Some(since + TRIAL_DELAY) };
         self.cases.insert(fingerprint, case);
         self.changes.push(QuarantineChange { fingerprint, term, crashes });
     }
 
     fn prune(&mut self, now: MonotonicTime) {
-        self.cases.retain(|_, case| now.since(case.since) < CASE_MEMORY);
-        self.answers.retain(|_, at| now.since(*at) < CRASH_MEMORY);
+        self.cases.retain(|_, case| now.since(case.since) < CASE_RETENTION);
+        self.answers.retain(|_, at| now.since(*at) < CRASH_RETENTION);
         let oldest = self.crashes.values().min().copied();
-        if oldest.is_some_and(|oldest| now.since(oldest) >= CRASH_MEMORY) {
-            self.crashes.retain(|_, at| now.since(*at) < CRASH_MEMORY);
-            self.forget_unknown_crashes();
+        if oldest.is_some_and(|oldest| now.since(oldest) >= CRASH_RETENTION) {
+            self.crashes.retain(|_, at| now.since(*at) < CRASH_RETENTION);
+            self.remove_expired_suspects();
         }
     }
 
-    fn forget_oldest_crash(&mut self) {
+    fn remove_oldest_crash(&mut self) {
         let oldest = self.crashes.iter().min_by_key(|(_, at)| **at).map(|(crash, _)| *crash);
         if let Some(oldest) = oldest {
             self.crashes.swap_remove(&oldest);
-            self.forget_unknown_crashes();
+            self.remove_expired_suspects();
         }
     }
 
-    fn forget_unknown_crashes(&mut self) {
+    fn remove_expired_suspects(&mut self) {
         let crashes = &self.crashes;
         self.suspects.retain(|_, record| {
             record.crashes.retain(|crash| crashes.contains_key(crash));
@@ -316,7 +321,7 @@
         });
     }
 
-    fn forget_suspect(&mut self, fingerprint: RequestFingerprint) {
+    fn remove_suspect(&mut self, fingerprint: RequestFingerprint) {
         self.suspects.swap_remove(&fingerprint);
     }
 }
--- a/crates/coltsfootroute/src/quarantine/quarantine_row.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_row.rs
@@ -54,11 +54,11 @@
     /// Whether this node may make the trial of a case.
     pub enum TrialClaim {
         /// Yes, and no other.
-        Taken,
+        Granted,
         /// Another has made it, or may have.
-        Spent,
+        Used,
         /// The store can't say; it may be asked again.
-        Unanswered,
+        Unavailable,
     }
 }
 
@@ -66,10 +66,10 @@
     /// What the store's reply to [`trial_claim`] says.
     pub fn of(reply: &TableReply) -> Self {
         match reply {
-            TableReply::Committed => Self::Taken,
+            TableReply::Committed => Self::Granted,
             // A claim that may stand can't be told from another node's.
-            TableReply::Conflict(_) | TableReply::Uncertain | TableReply::Rows(_) => Self::Spent,
-            TableReply::Unavailable => Self::Unanswered,
+            TableReply::Conflict(_) | TableReply::Uncertain | TableReply::Rows(_) => Self::Used,
+            TableReply::Unavailable => Self::Unavailable,
         }
     }
 }
--- a/crates/coltsfootroute/src/quarantine/quarantine_news.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_update.rs
@@ -15,9 +15,9 @@
 }
 
 record_type! {
-    /// What nodes tell each other of ended upstreams. Merging the same news twice changes nothing.
+    /// What nodes tell each other of ended upstreams. Merging the same update twice changes nothing.
     #[derive(Default)]
-    pub struct QuarantineNews {
+    pub struct QuarantineUpdate {
         /// Ends of upstreams.
         pub crashes: Vec<CrashReport>,
         /// Suspected requests that were answered.
@@ -27,7 +27,7 @@
     }
 }
 
-impl QuarantineNews {
+impl QuarantineUpdate {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.answers.is_empty() && self.cases.is_empty()
--- a/crates/coltsfootroute/tests/integration/quarantine/innocent_reads.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/innocent_reads.rs
@@ -8,8 +8,8 @@
 
 use coltsfootroute::{
     quarantine::{
-        AnsweredRequests, CrashId, CrashReport, FingerprintParts, QuarantineNews,
-        QuarantineRegister, QuarantineVerdict, RequestFingerprint,
+        AnsweredRequests, CrashId, CrashReport, FingerprintParts, QuarantineRegister,
+        QuarantineUpdate, QuarantineVerdict, RequestFingerprint,
     },
     time::MonotonicTime,
 };
@@ -128,9 +128,9 @@
         let done = upstream.running.extract_if(.., |(_, until)| *until <= step);
         for (target, _) in done.collect::<Vec<_>>() {
             if self.remembers {
-                upstream.answered.note(now, &parts(&target));
+                upstream.answered.record(now, &parts(&target));
             }
-            self.register.note_answer(now, RequestFingerprint::of(&parts(&target)));
+            self.register.record_answer(now, RequestFingerprint::of(&parts(&target)));
         }
     }
 
@@ -169,17 +169,17 @@
         }
         self.crashes += 1;
         let report = CrashReport { crash: CrashId(self.crashes), age: Duration::ZERO, suspects };
-        self.register.merge(now, QuarantineNews { crashes: vec![report], ..Default::default() });
+        self.register.merge(now, QuarantineUpdate { crashes: vec![report], ..Default::default() });
     }
 
     fn is_held(&self, now: MonotonicTime, target: &str) -> bool {
-        let verdict = self.register.judge(now, RequestFingerprint::of(&parts(target)));
+        let verdict = self.register.verdict(now, RequestFingerprint::of(&parts(target)));
         verdict != QuarantineVerdict::Free
     }
 }
 
 /// A minute of the load.
-fn play(cause: EndCause, remembers: bool) -> Tally {
+fn run_load(cause: EndCause, remembers: bool) -> Tally {
     let mut load = Load::new(remembers);
     for step in 0..1_200 {
         load.step(step, cause);
@@ -191,7 +191,7 @@
 #[case(EndCause::Outside)]
 #[case(EndCause::Request)]
 fn no_caller_of_a_popular_read_is_turned_away(#[case] cause: EndCause) {
-    let tally = play(cause, true);
+    let tally = run_load(cause, true);
 
     assert!(tally.popular > 1_000, "{tally:?}");
     assert_eq!((tally.popular_held, tally.others_held), (0, 0), "{tally:?}");
@@ -199,13 +199,13 @@
 
 #[test]
 fn what_ends_its_upstreams_is_held_back_after_three() {
-    assert_eq!(play(EndCause::Request, true).fatal_runs, 3);
+    assert_eq!(run_load(EndCause::Request, true).fatal_runs, 3);
 }
 
 /// The rule of three ends alone turns the popular read away as soon as three upstreams end together.
 #[test]
 fn without_what_was_answered_of_late_the_innocent_are_turned_away() {
-    let tally = play(EndCause::Outside, false);
+    let tally = run_load(EndCause::Outside, false);
 
     assert!(tally.popular_held > tally.popular / 2, "{tally:?}");
 }
--- a/crates/coltsfootroute/tests/integration/quarantine/register.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/register.rs
@@ -4,7 +4,7 @@
 
 use coltsfootroute::{
     quarantine::{
-        AnswerNote, CaseNote, CaseTerm, CrashId, CrashReport, QuarantineNews, QuarantineRegister,
+        AnswerNote, CaseNote, CaseTerm, CrashId, CrashReport, QuarantineRegister, QuarantineUpdate,
         QuarantineVerdict, RequestFingerprint, TrialClaim,
     },
     time::MonotonicTime,
@@ -15,15 +15,15 @@
 /// Far enough from the origin that ages can be taken off.
 const START: MonotonicTime = MonotonicTime::from_millis(200_000_000);
 
-fn crash(id: u64, suspects: &[RequestFingerprint]) -> QuarantineNews {
+fn crash(id: u64, suspects: &[RequestFingerprint]) -> QuarantineUpdate {
     let report =
         CrashReport { crash: CrashId(id), age: Duration::ZERO, suspects: suspects.to_vec() };
-    QuarantineNews { crashes: vec![report], ..QuarantineNews::default() }
+    QuarantineUpdate { crashes: vec![report], ..QuarantineUpdate::default() }
 }
 
-fn answer(fingerprint: RequestFingerprint) -> QuarantineNews {
+fn answer(fingerprint: RequestFingerprint) -> QuarantineUpdate {
     let answers = vec![AnswerNote { fingerprint, age: Duration::ZERO }];
-    QuarantineNews { answers, ..QuarantineNews::default() }
+    QuarantineUpdate { answers, ..QuarantineUpdate::default() }
 }
 
 /// A register that holds `FATAL` back, and when it began to.
@@ -41,7 +41,7 @@
 }
 
 fn is_held(register: &QuarantineRegister, now: MonotonicTime) -> bool {
-    matches!(register.judge(now, FATAL), QuarantineVerdict::Held(_))
+    matches!(register.verdict(now, FATAL), QuarantineVerdict::Held(_))
 }
 
 #[test]
@@ -50,12 +50,12 @@
 
     register.merge(at(0), crash(1, &[FATAL, OTHER]));
     register.merge(at(1), crash(2, &[FATAL, OTHER]));
-    assert_eq!(register.judge(at(1), FATAL), QuarantineVerdict::Free);
+    assert_eq!(register.verdict(at(1), FATAL), QuarantineVerdict::Free);
     register.merge(at(2), crash(3, &[FATAL]));
 
     assert!(is_held(&register, at(2)));
-    assert_eq!(register.judge(at(2), OTHER), QuarantineVerdict::Free);
-    let changes = register.take_changes();
+    assert_eq!(register.verdict(at(2), OTHER), QuarantineVerdict::Free);
+    let changes = register.drain_changes();
     assert_eq!((changes.len(), changes[0].fingerprint, changes[0].crashes), (1, FATAL, 3));
 }
 
@@ -66,7 +66,7 @@
     for second in 1..9 {
         assert!(register.merge(at(second), crash(1, &[FATAL])).is_empty());
     }
-    assert_eq!(register.judge(at(9), FATAL), QuarantineVerdict::Free);
+    assert_eq!(register.verdict(at(9), FATAL), QuarantineVerdict::Free);
 }
 
 #[test]
@@ -88,7 +88,7 @@
     for id in 3..9 {
         register.merge(at(id), crash(id, &[FATAL]));
     }
-    assert_eq!(register.judge(at(9), FATAL), QuarantineVerdict::Free);
+    assert_eq!(register.verdict(at(9), FATAL), QuarantineVerdict::Free);
 }
 
 #[test]
@@ -108,7 +108,7 @@
 
     register.merge(since, answer(FATAL));
 
-    assert_eq!(register.judge(since, FATAL), QuarantineVerdict::Free);
+    assert_eq!(register.verdict(since, FATAL), QuarantineVerdict::Free);
     assert_eq!(register.term(FATAL), CaseTerm(2));
 }
 
@@ -117,7 +117,7 @@
     let (mut register, _) = holding();
     let answers = vec![AnswerNote { fingerprint: FATAL, age: Duration::from_secs(60) }];
 
-    register.merge(at(3), QuarantineNews { answers, ..QuarantineNews::default() });
+    register.merge(at(3), QuarantineUpdate { answers, ..QuarantineUpdate::default() });
 
     assert!(is_held(&register, at(3)));
 }
@@ -128,17 +128,17 @@
     register.merge(at(0), crash(1, &[FATAL]));
     register.merge(at(1), crash(2, &[FATAL]));
     register.merge(at(700), crash(3, &[FATAL]));
-    assert_eq!(register.judge(at(700), FATAL), QuarantineVerdict::Free);
+    assert_eq!(register.verdict(at(700), FATAL), QuarantineVerdict::Free);
 }
 
 #[test]
 fn a_case_lapses_after_a_day() {
     let (mut register, since) = holding();
-    register.note_trial(since, FATAL, TrialClaim::Spent);
+    register.record_trial(since, FATAL, TrialClaim::Used);
     let day = Duration::from_secs(24 * 3_600);
 
     assert!(is_held(&register, since + day - Duration::from_secs(1)));
-    assert_eq!(register.judge(since + day, FATAL), QuarantineVerdict::Free);
+    assert_eq!(register.verdict(since + day, FATAL), QuarantineVerdict::Free);
 }
 
 #[test]
@@ -146,13 +146,13 @@
     let (mut register, since) = holding();
     let minute = since + Duration::from_secs(60);
 
-    assert_eq!(register.judge(since, FATAL), QuarantineVerdict::Held(Duration::from_secs(60)));
-    assert_eq!(register.judge(minute, FATAL), QuarantineVerdict::TrialDue);
-    register.note_trial(minute, FATAL, TrialClaim::Unanswered);
+    assert_eq!(register.verdict(since, FATAL), QuarantineVerdict::Held(Duration::from_secs(60)));
+    assert_eq!(register.verdict(minute, FATAL), QuarantineVerdict::TrialDue);
+    register.record_trial(minute, FATAL, TrialClaim::Unavailable);
     assert!(is_held(&register, minute));
     let later = minute + Duration::from_secs(10);
-    assert_eq!(register.judge(later, FATAL), QuarantineVerdict::TrialDue);
-    register.note_trial(later, FATAL, TrialClaim::Spent);
+    assert_eq!(register.verdict(later, FATAL), QuarantineVerdict::TrialDue);
+    register.record_trial(later, FATAL, TrialClaim::Used);
 
     assert!(is_held(&register, later + Duration::from_secs(3_600)));
 }
@@ -161,12 +161,12 @@
 fn an_operator_lets_go_and_three_more_ends_hold_back_again() {
     let (mut register, since) = holding();
 
-    assert!(register.let_go(since, FATAL));
-    assert!(!register.let_go(since, FATAL));
-    assert_eq!(register.judge(since, FATAL), QuarantineVerdict::Free);
+    assert!(register.release(since, FATAL));
+    assert!(!register.release(since, FATAL));
+    assert_eq!(register.verdict(since, FATAL), QuarantineVerdict::Free);
     register.merge(at(4), crash(10, &[FATAL]));
     register.merge(at(5), crash(11, &[FATAL]));
-    assert_eq!(register.judge(at(5), FATAL), QuarantineVerdict::Free);
+    assert_eq!(register.verdict(at(5), FATAL), QuarantineVerdict::Free);
     register.merge(at(6), crash(12, &[FATAL]));
 
     assert!(is_held(&register, at(6)));
@@ -179,14 +179,14 @@
     let told = |term| {
         let note =
             CaseNote { fingerprint: FATAL, term: CaseTerm(term), age: Duration::from_secs(1) };
-        QuarantineNews { cases: vec![note], ..QuarantineNews::default() }
+        QuarantineUpdate { cases: vec![note], ..QuarantineUpdate::default() }
     };
 
     assert!(register.merge(since, told(1)).is_empty());
     assert!(!register.merge(since, told(2)).is_empty());
     assert!(register.merge(since, told(1)).is_empty());
 
-    assert_eq!(register.judge(since, FATAL), QuarantineVerdict::Free);
+    assert_eq!(register.verdict(since, FATAL), QuarantineVerdict::Free);
 }
 
 /// Whoever crashes upstreams on purpose fills no more than the tables hold.
--- a/crates/coltsfootroute/tests/integration/quarantine/spread.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/spread.rs
@@ -1,9 +1,9 @@
-//! Nodes that hear the same news in any order, any number of times, agree.
+//! Nodes that hear the same update in any order, any number of times, agree.
 
 use std::time::Duration;
 
 use coltsfootroute::{
-    quarantine::{CrashId, CrashReport, QuarantineNews, QuarantineRegister, RequestFingerprint},
+    quarantine::{CrashId, CrashReport, QuarantineRegister, QuarantineUpdate, RequestFingerprint},
     time::MonotonicTime,
 };
 use proptest::prelude::*;
@@ -11,15 +11,15 @@
 const NOW: MonotonicTime = MonotonicTime::from_millis(100_000_000);
 
 /// One crash in which some of six requests were under way.
-fn report() -> impl Strategy<Value = QuarantineNews> {
+fn report() -> impl Strategy<Value = QuarantineUpdate> {
     (0..8_u64, proptest::collection::vec(0..6_u128, 1..4), 0..5_u64).prop_map(
-        |(crash, suspects, age)| QuarantineNews {
+        |(crash, suspects, age)| QuarantineUpdate {
             crashes: vec![CrashReport {
                 crash: CrashId(crash),
                 age: Duration::from_secs(age),
                 suspects: suspects.into_iter().map(RequestFingerprint).collect(),
             }],
-            ..QuarantineNews::default()
+            ..QuarantineUpdate::default()
         },
     )
 }
@@ -29,15 +29,15 @@
 
     #[test]
     fn the_order_of_news_does_not_matter(
-        news in proptest::collection::vec(report(), 1..30),
+        update in proptest::collection::vec(report(), 1..30),
         shuffled in any::<proptest::sample::Index>(),
     ) {
         let (mut first, mut second) = (QuarantineRegister::default(), QuarantineRegister::default());
-        for each in &news {
+        for each in &update {
             first.merge(NOW, each.clone());
         }
-        let turn = shuffled.index(news.len());
-        for each in news[turn..].iter().rev().chain(news[..turn].iter()).chain(news.iter()) {
+        let turn = shuffled.index(update.len());
+        for each in update[turn..].iter().rev().chain(update[..turn].iter()).chain(update.iter()) {
             second.merge(NOW, each.clone());
         }
         prop_assert_eq!(first.digest(), second.digest());
@@ -45,10 +45,10 @@
 
     #[test]
     fn all_that_a_node_knows_makes_another_agree(
-        news in proptest::collection::vec(report(), 1..30),
+        update in proptest::collection::vec(report(), 1..30),
     ) {
         let (mut first, mut second) = (QuarantineRegister::default(), QuarantineRegister::default());
-        for each in &news {
+        for each in &update {
             first.merge(NOW, each.clone());
         }
         second.merge(NOW, first.all(NOW));
@@ -58,7 +58,7 @@
     }
 }
 
-/// What a node that has passed on its news still lacks shows by the digest.
+/// What a node that has passed on its update still lacks shows by the digest.
 #[test]
 fn a_digest_tells_cases_apart_and_no_case_has_none() {
     let mut register = QuarantineRegister::default();
@@ -67,10 +67,11 @@
     for crash in 0..3 {
         let report =
             CrashReport { crash: CrashId(crash), age: Duration::ZERO, suspects: vec![fingerprint] };
-        register.merge(NOW, QuarantineNews { crashes: vec![report], ..QuarantineNews::default() });
+        register
+            .merge(NOW, QuarantineUpdate { crashes: vec![report], ..QuarantineUpdate::default() });
     }
     let held = register.digest();
-    register.let_go(NOW, fingerprint);
+    register.release(NOW, fingerprint);
 
     assert_ne!(held, 0);
     assert_ne!(held, register.digest());
