--- a/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
@@ -60,8 +60,8 @@
             return Ok(None);
         }
         let quota = self.quota_of(&team.name);
-        quota.credit.borrow_mut().note_demand(self.context.now());
-        if quota.credit.borrow_mut().take(self.context.now()) {
+        quota.credit.borrow_mut().record_demand(self.context.now());
+        if quota.credit.borrow_mut().acquire(self.context.now()) {
             self.ask_ahead(&team.name, &quota);
             return Ok(Some(CreditTaken { quota }));
         }
@@ -70,7 +70,7 @@
 
     /// Gives credit back for a request that has not run.
     pub(super) fn give_back(&self, taken: &CreditTaken) {
-        taken.quota.credit.borrow_mut().give_back(self.context.now());
+        taken.quota.credit.borrow_mut().refund(self.context.now());
     }
 
     /// Forgets teams that send nothing any more.
@@ -96,16 +96,16 @@
         let _waiting = WaitingMark::begin(quota.clone());
         loop {
             let now = self.context.now();
-            if quota.credit.borrow_mut().take(now) {
+            if quota.credit.borrow_mut().acquire(now) {
                 return Ok(CreditTaken { quota });
             }
             // Who has just been told that there is none does not ask again before.
-            let spent_for = quota.credit.borrow().spent_for(now);
-            if let Some(wait) = spent_for {
+            let exhausted_for = quota.credit.borrow().exhausted_for(now);
+            if let Some(wait) = exhausted_for {
                 // As many wait as credit comes for.
                 if wait * quota.waiting.get() > SHORT_WAIT || Instant::now() + wait >= until {
                     let reason = RefusalReason::RateLimited;
-                    return Err(CreditDenied { reason, wait: spent_for });
+                    return Err(CreditDenied { reason, wait: exhausted_for });
                 }
                 sleep(wait).await;
                 continue;
@@ -135,7 +135,7 @@
             let now = ingress.context.now();
             match grant {
                 Some(grant) => quota.credit.borrow_mut().grant(now, grant),
-                None => quota.credit.borrow_mut().go_alone(now),
+                None => quota.credit.borrow_mut().grant_own_share(now),
             }
             quota.answered.notify_waiters();
             if grant.is_none() {
--- a/crates/coltsfoot-node/src/dispatch/links/credit_owner.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/credit_owner.rs
@@ -6,7 +6,7 @@
     id::NodeId,
     membership::{MemberRecord, MemberState},
     name::{ServiceName, TeamName},
-    quota::{CreditGrant, CreditLedger, CreditQuestion, SETTLING_TIME, first_owner},
+    quota::{CreditGrant, CreditLedger, CreditRequest, SETTLING_TIME, first_owner},
     time::MonotonicTime,
 };
 use indexmap::IndexMap;
@@ -71,9 +71,9 @@
             return None;
         }
         let CreditWish { wanted, used } = wish;
-        let question = CreditQuestion { asker, team, limit, wanted, used };
+        let request = CreditRequest { requester: asker, team, limit, wanted, used };
         let is_sole = self.is_sole(team);
-        Some(self.ledger.borrow_mut().ask(self.context.now(), question, is_sole))
+        Some(self.ledger.borrow_mut().grant(self.context.now(), request, is_sole))
     }
 
     /// The member of `service` that owns the credit of `team`, as far as this node knows.
--- a/crates/coltsfootroute/examples/compare_quota.rs
+++ b/crates/coltsfootroute/examples/compare_quota.rs
@@ -14,7 +14,7 @@
 use coltsfootroute::{
     id::NodeId,
     name::TeamName,
-    quota::{CreditGrant, CreditLedger, CreditQuestion, SETTLING_TIME, TeamCredit},
+    quota::{CreditGrant, CreditLedger, CreditRequest, SETTLING_TIME, TeamCredit},
     schema::RateLimit,
     table::TokenBucket,
     time::MonotonicTime,
@@ -263,7 +263,7 @@
     ledgers: Vec<CreditLedger>,
     credits: Vec<TeamCredit>,
     waiting: Vec<u32>,
-    questions: Vec<Option<(u64, Option<CreditGrant>)>>,
+    requests: Vec<Option<(u64, Option<CreditGrant>)>>,
     /// When the owner changed.
     changed: Option<MonotonicTime>,
 }
@@ -276,7 +276,7 @@
     }
 
     fn ask(&mut self, world: &mut World, node: usize) {
-        if self.questions[node].is_some() {
+        if self.requests[node].is_some() {
             return;
         }
         let wanted = self.credits[node].wanted(world.time(), self.waiting[node]);
@@ -287,8 +287,8 @@
         let arrives = world.send(node, owner) && world.send(owner, node);
         let grant = arrives.then(|| {
             let address = SocketAddr::from((Ipv4Addr::new(10, 0, 0, node as u8), 7620));
-            let question = CreditQuestion {
-                asker: NodeId(address),
+            let request = CreditRequest {
+                requester: NodeId(address),
                 team: &TeamName::new("red"),
                 limit: world.scenario.limit(),
                 wanted,
@@ -296,19 +296,19 @@
             };
             let now = world.time();
             let is_sole = self.changed.is_none_or(|changed| now.since(changed) >= SETTLING_TIME);
-            self.ledgers[owner].ask(now, question, is_sole)
+            self.ledgers[owner].grant(now, request, is_sole)
         });
         let wait = if grant.is_some() { world.rng.random_range(2..8) } else { ASK_TIMEOUT };
-        self.questions[node] = Some((world.now + wait, grant));
+        self.requests[node] = Some((world.now + wait, grant));
     }
 }
 
 impl QuotaWay for OwnedCredit {
     fn arrive(&mut self, world: &mut World, node: usize) -> Option<bool> {
         let now = world.time();
-        self.credits[node].note_demand(now);
-        let is_taken = self.credits[node].take(now);
-        let is_spent = self.credits[node].spent_for(now).is_some();
+        self.credits[node].record_demand(now);
+        let is_taken = self.credits[node].acquire(now);
+        let is_spent = self.credits[node].exhausted_for(now).is_some();
         self.waiting[node] += u32::from(!is_taken && !is_spent);
         self.ask(world, node);
         match (is_taken, is_spent) {
@@ -324,18 +324,18 @@
             self.changed = Some(world.time());
         }
         for node in 0..NODES {
-            let due = self.questions[node].take_if(|(answered, _)| *answered <= world.now);
+            let due = self.requests[node].take_if(|(answered, _)| *answered <= world.now);
             let Some((_, grant)) = due else { continue };
             let now = world.time();
             match grant {
                 Some(grant) => self.credits[node].grant(now, grant),
-                None => self.credits[node].go_alone(now),
+                None => self.credits[node].grant_own_share(now),
             }
-            while self.waiting[node] > 0 && self.credits[node].take(now) {
+            while self.waiting[node] > 0 && self.credits[node].acquire(now) {
                 self.waiting[node] -= 1;
                 ended.push(true);
             }
-            if grant.is_none() || self.credits[node].spent_for(now).is_some() {
+            if grant.is_none() || self.credits[node].exhausted_for(now).is_some() {
                 let refused = std::mem::take(&mut self.waiting[node]);
                 ended.extend((0..refused).map(|_| false));
             }
@@ -443,7 +443,7 @@
             ledgers: vec![CreditLedger::new(); NODES],
             credits: vec![TeamCredit::new(MonotonicTime::from_millis(BEGIN)); NODES],
             waiting: vec![0; NODES],
-            questions: vec![None; NODES],
+            requests: vec![None; NODES],
             changed: None,
         });
     }
--- a/crates/coltsfootroute/src/quota.rs
+++ b/crates/coltsfootroute/src/quota.rs
@@ -10,6 +10,6 @@
 mod team_credit;
 
 pub use credit_grant::CreditGrant;
-pub use credit_ledger::{CreditLedger, CreditQuestion, SETTLING_TIME};
+pub use credit_ledger::{CreditLedger, CreditRequest, SETTLING_TIME};
 pub use owner_rank::{first_owner, ranked_services};
 pub use team_credit::TeamCredit;
--- a/crates/coltsfootroute/src/quota/credit_ledger.rs
+++ b/crates/coltsfootroute/src/quota/credit_ledger.rs
@@ -13,17 +13,17 @@
 /// as long as what it has given out counts.
 pub const SETTLING_TIME: Duration = Duration::from_secs(5);
 /// A new owner gives out a part of the rate for so long: until then some nodes may still ask the one before.
-const SLOW_TIME: Duration = Duration::from_secs(2);
+const REDUCED_RATE_TIME: Duration = Duration::from_secs(2);
 /// That part.
-const SLOW_PART: f64 = 0.5;
+const REDUCED_RATE_FACTOR: f64 = 0.5;
 /// An owner that was not asked for so long may not have been the owner all the while.
-const OWNED_GAP: Duration = Duration::from_secs(1);
+const MAX_REQUEST_GAP: Duration = Duration::from_secs(1);
 /// Who has not asked for so long has no part of the rate.
-const ASKER_TIME: Duration = Duration::from_secs(2);
+const REQUESTER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Credit that was not asked for so long is full again.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Thousandths in one.
-const MILLI: u32 = 1_000;
+const MILLIS_PER_UNIT: u32 = 1_000;
 
 /// The credit of the teams that a node owns.
 ///
@@ -40,26 +40,26 @@
     limit: RateLimit,
     bucket: TokenBucket,
     /// Until then only a part of the rate is given out.
-    slow_until: Option<MonotonicTime>,
+    reduced_until: Option<MonotonicTime>,
     /// Whether the credit has begun anew since another node may have owned it.
-    is_fresh: bool,
-    asked: MonotonicTime,
+    is_restarted: bool,
+    last_request_at: MonotonicTime,
     /// Who asked of late, and when last.
-    askers: IndexMap<NodeId, MonotonicTime>,
+    requesters: IndexMap<NodeId, MonotonicTime>,
 }
 
-/// A question for credit.
+/// A request for credit.
 #[derive(Clone, Copy, Debug)]
-pub struct CreditQuestion<'a> {
+pub struct CreditRequest<'a> {
     /// Who asks.
-    pub asker: NodeId,
+    pub requester: NodeId,
     /// Whose credit.
     pub team: &'a TeamName,
     /// Limit of the team.
     pub limit: RateLimit,
     /// Requests to take in.
     pub wanted: u32,
-    /// Requests that the asker has taken in without being asked, since it was last answered.
+    /// Requests that the requester has taken in without being asked, since it was last answered.
     pub used: u32,
 }
 
@@ -70,79 +70,85 @@
     }
 
     /// Gives out credit; `is_sole` says whether no other node can have owned it for [`SETTLING_TIME`].
-    pub fn ask(
+    pub fn grant(
         &mut self,
         now: MonotonicTime,
-        question: CreditQuestion<'_>,
+        request: CreditRequest<'_>,
         is_sole: bool,
     ) -> CreditGrant {
-        let credit = self.teams.entry(question.team.clone());
-        let credit = credit.or_insert_with(|| OwnedCredit::new(now, question.limit, is_sole));
-        credit.take_up(now, question.limit, is_sole);
-        credit.grant(now, &question)
+        let credit = self.teams.entry(request.team.clone());
+        let credit = credit.or_insert_with(|| OwnedCredit::new(now, request.limit, is_sole));
+        credit.update(now, request.limit, is_sole);
+        credit.grant(now, &request)
     }
 
     /// Forgets credit that nobody asks for.
     pub fn prune(&mut self, now: MonotonicTime) {
-        self.teams.retain(|_, credit| now.since(credit.asked) < FORGET_AFTER);
+        self.teams.retain(|_, credit| now.since(credit.last_request_at) < IDLE_TIMEOUT);
     }
 }
 
 impl OwnedCredit {
     fn new(now: MonotonicTime, limit: RateLimit, is_sole: bool) -> Self {
         let bucket = TokenBucket::new(limit.per_s.into(), limit.burst.into());
-        let askers = IndexMap::new();
-        let mut credit =
-            Self { limit, bucket, slow_until: None, is_fresh: false, asked: now, askers };
+        let requesters = IndexMap::new();
+        let mut credit = Self {
+            limit,
+            bucket,
+            reduced_until: None,
+            is_restarted: false,
+            last_request_at: now,
+            requesters,
+        };
         if !is_sole {
-            credit.begin_anew(now);
+            credit.restart(now);
         }
         credit
     }
 
     /// Follows a changed limit, and a change among those that may own the credit.
-    fn take_up(&mut self, now: MonotonicTime, limit: RateLimit, is_sole: bool) {
-        let is_gap = now.since(self.asked) >= OWNED_GAP;
+    fn update(&mut self, now: MonotonicTime, limit: RateLimit, is_sole: bool) {
+        let is_gap = now.since(self.last_request_at) >= MAX_REQUEST_GAP;
         if is_sole {
-            self.is_fresh = false;
-        } else if is_gap && !self.is_fresh {
-            self.begin_anew(now);
+            self.is_restarted = false;
+        } else if is_gap && !self.is_restarted {
+            self.restart(now);
         }
-        let is_over = self.slow_until.is_some_and(|until| until <= now);
+        let is_over = self.reduced_until.is_some_and(|until| until <= now);
         if self.limit != limit || is_over {
             self.limit = limit;
-            self.slow_until = self.slow_until.filter(|_| !is_over);
+            self.reduced_until = self.reduced_until.filter(|_| !is_over);
             self.bucket.reshape(now, self.rate(), limit.burst.into());
         }
-        self.asked = now;
+        self.last_request_at = now;
     }
 
-    fn begin_anew(&mut self, now: MonotonicTime) {
-        self.is_fresh = true;
-        self.slow_until = Some(now + SLOW_TIME);
+    fn restart(&mut self, now: MonotonicTime) {
+        self.is_restarted = true;
+        self.reduced_until = Some(now + REDUCED_RATE_TIME);
         self.bucket = TokenBucket::new(self.rate(), self.limit.burst.into()).emptied(now);
     }
 
     /// Credit a second that is given out now.
     fn rate(&self) -> f64 {
-        let part = if self.slow_until.is_some() { SLOW_PART } else { 1.0 };
+        let part = if self.reduced_until.is_some() { REDUCED_RATE_FACTOR } else { 1.0 };
         f64::from(self.limit.per_s) * part
     }
 
-    fn grant(&mut self, now: MonotonicTime, question: &CreditQuestion<'_>) -> CreditGrant {
-        self.askers.insert(question.asker, now);
-        self.askers.retain(|_, asked| now.since(*asked) < ASKER_TIME);
+    fn grant(&mut self, now: MonotonicTime, request: &CreditRequest<'_>) -> CreditGrant {
+        self.requesters.insert(request.requester, now);
+        self.requesters.retain(|_, asked| now.since(*asked) < REQUESTER_TIMEOUT);
         // A new owner has no credit from the time before it, out of which that was used.
-        if !self.is_fresh {
-            self.bucket.charge(now, question.used);
+        if !self.is_restarted {
+            self.bucket.charge(now, request.used);
         }
-        let granted = self.bucket.take_some(now, question.wanted);
+        let granted = self.bucket.take_some(now, request.wanted);
         let wait = match granted {
             0 => self.bucket.time_to_token(),
             _ => Duration::ZERO,
         };
-        let askers = u32::try_from(self.askers.len()).unwrap_or(u32::MAX).max(1);
-        let share_milli = self.limit.per_s.saturating_mul(MILLI) / askers;
+        let requesters = u32::try_from(self.requesters.len()).unwrap_or(u32::MAX).max(1);
+        let share_milli = self.limit.per_s.saturating_mul(MILLIS_PER_UNIT) / requesters;
         CreditGrant { granted, wait, share_milli }
     }
 }
--- a/crates/coltsfootroute/tests/integration/quota/credit.rs
+++ b/crates/coltsfootroute/tests/integration/quota/credit.rs
@@ -19,7 +19,7 @@
 fn used(per_s: u64) -> TeamCredit {
     let mut credit = TeamCredit::new(at(0));
     for request in 0..3 * per_s {
-        credit.note_demand(at(request * 1_000 / per_s));
+        credit.record_demand(at(request * 1_000 / per_s));
     }
     credit
 }
@@ -29,7 +29,7 @@
     let mut credit = TeamCredit::new(at(0));
     credit.grant(at(0), grant(2));
 
-    let taken: Vec<_> = (0..3).map(|_| credit.take(at(1))).collect();
+    let taken: Vec<_> = (0..3).map(|_| credit.acquire(at(1))).collect();
 
     assert_eq!(taken, [true, true, false]);
 }
@@ -39,20 +39,20 @@
     let mut credit = TeamCredit::new(at(0));
     credit.grant(at(0), grant(5));
 
-    assert!(!credit.take(at(601)));
+    assert!(!credit.acquire(at(601)));
 }
 
 #[test]
 fn credit_of_a_request_that_did_not_run_pays_for_another_unless_it_has_lapsed() {
     let mut credit = TeamCredit::new(at(0));
     credit.grant(at(0), grant(1));
-    assert!(credit.take(at(1)));
+    assert!(credit.acquire(at(1)));
 
-    credit.give_back(at(300));
-    assert!(credit.take(at(301)));
-    credit.give_back(at(700));
+    credit.refund(at(300));
+    assert!(credit.acquire(at(301)));
+    credit.refund(at(700));
 
-    assert!(!credit.take(at(701)));
+    assert!(!credit.acquire(at(701)));
 }
 
 #[test]
@@ -81,8 +81,8 @@
 
     let mut taken = 0;
     for now in (100..10_000).step_by(100) {
-        credit.go_alone(at(now));
-        while credit.take(at(now)) {
+        credit.grant_own_share(at(now));
+        while credit.acquire(at(now)) {
             taken += 1;
         }
     }
@@ -97,10 +97,10 @@
     credit.grant(at(0), grant(5));
 
     // The five lapse at 600 ms, unused; ten a second are its own part.
-    credit.go_alone(at(700));
-    assert!((0..7).all(|_| credit.take(at(701))));
+    credit.grant_own_share(at(700));
+    assert!((0..7).all(|_| credit.acquire(at(701))));
 
-    assert!(!credit.take(at(701)));
+    assert!(!credit.acquire(at(701)));
     assert_eq!(credit.used(), 7);
 }
 
@@ -110,6 +110,6 @@
     let wait = Duration::from_millis(40);
     credit.grant(at(100), CreditGrant { granted: 0, wait, share_milli: 0 });
 
-    assert_eq!(credit.spent_for(at(110)), Some(Duration::from_millis(30)));
-    assert_eq!(credit.spent_for(at(140)), None);
+    assert_eq!(credit.exhausted_for(at(110)), Some(Duration::from_millis(30)));
+    assert_eq!(credit.exhausted_for(at(140)), None);
 }
--- a/crates/coltsfootroute/tests/integration/quota/ledger.rs
+++ b/crates/coltsfootroute/tests/integration/quota/ledger.rs
@@ -8,7 +8,7 @@
 use coltsfootroute::{
     id::NodeId,
     name::TeamName,
-    quota::{CreditGrant, CreditLedger, CreditQuestion},
+    quota::{CreditGrant, CreditLedger, CreditRequest},
     schema::RateLimit,
     time::MonotonicTime,
 };
@@ -19,7 +19,7 @@
     MonotonicTime::from_millis(millis)
 }
 
-fn asker(index: u8) -> NodeId {
+fn requester(index: u8) -> NodeId {
     NodeId(SocketAddr::from((Ipv4Addr::new(10, 0, 0, index), 7620)))
 }
 
@@ -36,8 +36,8 @@
     is_sole: bool,
 ) -> CreditGrant {
     let team = &TeamName::new("red");
-    let question = CreditQuestion { asker: asker(1), team, limit, wanted, used: 0 };
-    ledger.ask(at(now), question, is_sole)
+    let request = CreditRequest { requester: requester(1), team, limit, wanted, used: 0 };
+    ledger.grant(at(now), request, is_sole)
 }
 
 const MINUTE: u64 = 60_000;
@@ -83,7 +83,7 @@
 
     // Two seconds in which another may have given out this credit.
     assert_eq!(after(&mut ledger, 2_000).granted, 0);
-    // Asked seldom, it does not begin anew with each question.
+    // Asked seldom, it does not begin anew with each request.
     assert_eq!(after(&mut ledger, 3_200).granted, 50);
 }
 
@@ -101,8 +101,9 @@
     let team = &TeamName::new("red");
     ask(&mut ledger, MINUTE, LIMIT, 30);
 
-    let question = CreditQuestion { asker: asker(1), team, limit: LIMIT, wanted: 50, used: 15 };
-    let grant = ledger.ask(at(MINUTE), question, true);
+    let request =
+        CreditRequest { requester: requester(1), team, limit: LIMIT, wanted: 50, used: 15 };
+    let grant = ledger.grant(at(MINUTE), request, true);
 
     assert_eq!(grant.granted, 5);
 }
@@ -122,9 +123,9 @@
     let mut ledger = CreditLedger::new();
     for index in 1..=4 {
         let team = &TeamName::new("red");
-        let question =
-            CreditQuestion { asker: asker(index), team, limit: LIMIT, wanted: 1, used: 0 };
-        ledger.ask(at(MINUTE), question, true);
+        let request =
+            CreditRequest { requester: requester(index), team, limit: LIMIT, wanted: 1, used: 0 };
+        ledger.grant(at(MINUTE), request, true);
     }
 
     let grant = ask(&mut ledger, MINUTE, LIMIT, 1);
--- a/crates/coltsfootroute/tests/integration/quota/world.rs
+++ b/crates/coltsfootroute/tests/integration/quota/world.rs
@@ -1,11 +1,11 @@
-//! A team's requests at many nodes, whose questions to the owner take time, are lost, or go to another owner.
+//! A team's requests at many nodes, whose requests to the owner take time, are lost, or go to another owner.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use coltsfootroute::{
     id::NodeId,
     name::TeamName,
-    quota::{CreditGrant, CreditLedger, CreditQuestion, SETTLING_TIME, TeamCredit},
+    quota::{CreditGrant, CreditLedger, CreditRequest, SETTLING_TIME, TeamCredit},
     schema::RateLimit,
     time::MonotonicTime,
 };
@@ -20,12 +20,12 @@
 const WINDOW: u64 = 5_000;
 const OVERAGE: f64 = 1.1;
 const SLACK: f64 = 20.0;
-/// A question without an answer is given up.
+/// A request without an answer is given up.
 const ASK_TIMEOUT: u64 = 250;
 
-/// A question to an owner.
-struct Question {
-    /// When the answer is there, or the question is given up.
+/// A request to an owner.
+struct PendingRequest {
+    /// When the answer is there, or the request is given up.
     answered: u64,
     /// The answer; `None` if there is none.
     grant: Option<CreditGrant>,
@@ -45,7 +45,7 @@
     changed: Option<MonotonicTime>,
     /// Questions lost, in a thousand.
     loss: u32,
-    questions: Vec<Option<Question>>,
+    requests: Vec<Option<PendingRequest>>,
     waiting: Vec<u32>,
     /// When each request was taken in.
     taken: Vec<u64>,
@@ -67,7 +67,7 @@
             dead: Vec::new(),
             changed: None,
             loss: 0,
-            questions: (0..NODES).map(|_| None).collect(),
+            requests: (0..NODES).map(|_| None).collect(),
             waiting: vec![0; NODES],
             taken: Vec::new(),
             refused: 0,
@@ -79,7 +79,7 @@
     fn run(&mut self, per_s: f64, millis: u64, places: std::ops::Range<usize>) {
         for _ in 0..millis {
             self.now += 1;
-            self.settle_questions();
+            self.settle_requests();
             let mut due = per_s / 1_000.0;
             while due > 0.0 {
                 if self.rng.random_bool(due.min(1.0)) {
@@ -97,10 +97,10 @@
 
     fn arrive(&mut self, node: usize) {
         let now = self.time();
-        self.credits[node].note_demand(now);
-        if self.credits[node].take(now) {
+        self.credits[node].record_demand(now);
+        if self.credits[node].acquire(now) {
             self.taken.push(self.now);
-        } else if self.credits[node].spent_for(now).is_some() {
+        } else if self.credits[node].exhausted_for(now).is_some() {
             self.refused += 1;
         } else {
             self.waiting[node] += 1;
@@ -109,7 +109,7 @@
     }
 
     fn ask(&mut self, node: usize) {
-        if self.questions[node].is_some() {
+        if self.requests[node].is_some() {
             return;
         }
         let now = self.time();
@@ -124,37 +124,37 @@
         let grant = (!is_lost).then(|| {
             let address = SocketAddr::from((Ipv4Addr::new(10, 0, 0, node as u8), 7620));
             let read = MonotonicTime::from_millis(asked);
-            let question = CreditQuestion {
-                asker: NodeId(address),
+            let request = CreditRequest {
+                requester: NodeId(address),
                 team: &self.team,
                 limit: self.limit,
                 wanted,
                 used: self.credits[node].used(),
             };
             let is_sole = self.changed.is_none_or(|changed| read.since(changed) >= SETTLING_TIME);
-            self.ledgers[owner].ask(read, question, is_sole)
+            self.ledgers[owner].grant(read, request, is_sole)
         });
         let answered = match grant {
             Some(_) => asked + self.rng.random_range(1..5),
             None => self.now + ASK_TIMEOUT,
         };
-        self.questions[node] = Some(Question { answered, grant });
+        self.requests[node] = Some(PendingRequest { answered, grant });
     }
 
-    fn settle_questions(&mut self) {
+    fn settle_requests(&mut self) {
         for node in 0..NODES {
-            let due = self.questions[node].take_if(|question| question.answered <= self.now);
-            let Some(Question { grant, .. }) = due else { continue };
+            let due = self.requests[node].take_if(|request| request.answered <= self.now);
+            let Some(PendingRequest { grant, .. }) = due else { continue };
             let now = self.time();
             match grant {
                 Some(grant) => self.credits[node].grant(now, grant),
-                None => self.credits[node].go_alone(now),
+                None => self.credits[node].grant_own_share(now),
             }
-            while self.waiting[node] > 0 && self.credits[node].take(now) {
+            while self.waiting[node] > 0 && self.credits[node].acquire(now) {
                 self.waiting[node] -= 1;
                 self.taken.push(self.now);
             }
-            if self.waiting[node] > 0 && self.credits[node].spent_for(now).is_some() {
+            if self.waiting[node] > 0 && self.credits[node].exhausted_for(now).is_some() {
                 self.refused += self.waiting[node] as usize;
                 self.waiting[node] = 0;
             }
@@ -278,7 +278,7 @@
     }
 }
 
-/// Pattern: a tenth of the questions is lost, under demand far over the limit.
+/// Pattern: a tenth of the requests is lost, under demand far over the limit.
 #[test]
 fn lost_questions_let_nobody_over_the_limit() {
     for seed in 0..20 {
@@ -312,7 +312,7 @@
     world.run(140.0, 20_000, 0..4);
 
     let sent = world.taken.len();
-    assert!(world.asked * 4 <= sent, "{} questions for {sent} requests", world.asked);
+    assert!(world.asked * 4 <= sent, "{} requests for {sent} requests", world.asked);
 }
 
 /// Pattern: a team far over its limit, whose nodes are all told that there is none for now.
@@ -323,5 +323,5 @@
     world.run(703.0, 20_000, 0..NODES);
 
     let sent = world.taken.len() + world.refused;
-    assert!(world.asked * 2 <= sent, "{} questions for {sent} requests", world.asked);
+    assert!(world.asked * 2 <= sent, "{} requests for {sent} requests", world.asked);
 }
