--- a/crates/coltsfoot-node/src/config/config_thread.rs
+++ b/crates/coltsfoot-node/src/config/config_thread.rs
@@ -3,7 +3,7 @@
 use std::{io, pin::Pin, sync::Arc, thread, time::Duration};
 
 use coltsfootroute::{
-    freshness::draw_head_pause,
+    freshness::draw_head_interval,
     id::NodeId,
     revision::{ConfigDelta, HeadReader, ReaderStep, Revision, RevisionRecord},
     schema::SchemaDocument,
@@ -127,7 +127,7 @@
     /// Pause until the newest revision is read again.
     fn pause(&self) -> Duration {
         let Some(config) = self.parts.cell.load() else { return FIRST_READ_PERIOD };
-        let pause = draw_head_pause(self.parts.freshness.nodes(), &mut rand::rng());
+        let pause = draw_head_interval(self.parts.freshness.nodes(), &mut rand::rng());
         match self.parts.revoke_within {
             Some(bound) if !config.teams().is_empty() => pause.min(bound / READS_IN_BOUND),
             _ => pause,
--- a/crates/coltsfoot-node/src/config/freshness_cell.rs
+++ b/crates/coltsfoot-node/src/config/freshness_cell.rs
@@ -29,17 +29,17 @@
 impl FreshnessCell {
     /// Takes in what the store answered to a question asked at `asked`.
     pub fn note_store(&self, asked: MonotonicTime, proof: RevisionProof) {
-        self.lock().note_store(asked, proof);
+        self.lock().record_store_proof(asked, proof);
     }
 
     /// Takes in that this node has itself found `revision` to be the newest after `asked`.
     pub fn note_own(&self, asked: MonotonicTime, revision: Revision) {
-        self.lock().note_own(asked, revision);
+        self.lock().record_local_read(asked, revision);
     }
 
     /// Takes in a proof of another node.
     pub fn note(&self, proof: RevisionProof) {
-        self.lock().note(proof);
+        self.lock().record_proof(proof);
     }
 
     /// How long ago the configuration in force may last have been the newest; `None` without any proof. Ask before the
@@ -50,27 +50,27 @@
 
     /// The store's time of the newest proof, for others that hold `revision` or a later one.
     pub fn told(&self, revision: Revision) -> Option<StoreTime> {
-        self.lock().told(revision)
+        self.lock().proof_time_for(revision)
     }
 
     /// So many nodes are known.
     pub fn note_nodes(&self, nodes: usize) {
-        self.lock().note_nodes(nodes);
+        self.lock().set_node_count(nodes);
     }
 
     /// Nodes that this one knows of.
     pub fn nodes(&self) -> usize {
-        self.lock().nodes()
+        self.lock().node_count()
     }
 
     /// The revision in force.
     pub fn held(&self) -> Revision {
-        self.lock().held()
+        self.lock().revision()
     }
 
     /// A revision is in force from now on.
     pub(super) fn hold(&self, revision: Revision) {
-        self.lock().hold(revision);
+        self.lock().set_revision(revision);
     }
 
     fn lock(&self) -> MutexGuard<'_, ConfigFreshness> {
--- a/crates/coltsfootroute/src/freshness/store_clock.rs
+++ b/crates/coltsfootroute/src/freshness/store_clock.rs
@@ -6,7 +6,7 @@
 use crate::time::MonotonicTime;
 
 /// Two sound clocks drift apart by less than one part of this many.
-const DRIFT_PARTS: u32 = 1_000;
+const MAX_DRIFT_DIVISOR: u32 = 1_000;
 
 /// Where the times of the store's clock lie on the node's own, at the earliest.
 ///
@@ -20,7 +20,7 @@
 
 impl StoreClock {
     /// Takes in what the store's clock showed in the answer to a question asked at `asked`.
-    pub fn note(&mut self, asked: MonotonicTime, shown: StoreTime) {
+    pub fn record(&mut self, asked: MonotonicTime, shown: StoreTime) {
         if self.earliest(shown).is_none_or(|earliest| earliest <= asked) {
             self.reading = Some((asked, shown));
         }
@@ -31,6 +31,6 @@
         let (asked, read) = self.reading?;
         let later = Duration::from_millis(shown.0.saturating_sub(read.0));
         let sooner = Duration::from_millis(read.0.saturating_sub(shown.0));
-        Some(asked + later - sooner - (later + sooner) / DRIFT_PARTS)
+        Some(asked + later - sooner - (later + sooner) / MAX_DRIFT_DIVISOR)
     }
 }
--- a/crates/coltsfootroute/tests/integration/freshness.rs
+++ b/crates/coltsfootroute/tests/integration/freshness.rs
@@ -1,7 +1,7 @@
 //! Proof that a configuration is the newest: what it proves, to whom, and for how long.
 
 mod config_world;
-mod head_pace;
+mod head_interval;
 mod silence;
 
 use std::time::Duration;
@@ -29,19 +29,19 @@
 /// A node that holds revision 3 and has asked the store at 1,000 ms; the store's clock then showed 50,000 ms.
 fn proved() -> ConfigFreshness {
     let mut freshness = ConfigFreshness::default();
-    freshness.hold(Revision(3));
-    freshness.note_store(at(1_000), proof(3, 50_000));
+    freshness.set_revision(Revision(3));
+    freshness.record_store_proof(at(1_000), proof(3, 50_000));
     freshness
 }
 
 #[test]
 fn without_an_answer_nothing_is_proved() {
     let mut freshness = ConfigFreshness::default();
-    freshness.hold(Revision(3));
+    freshness.set_revision(Revision(3));
 
     assert_eq!(freshness.age(at(1_000)), None);
     // Nor by others: where their times lie on this node's clock is not known.
-    freshness.note(proof(3, 50_000));
+    freshness.record_proof(proof(3, 50_000));
     assert_eq!(freshness.age(at(1_000)), None);
 }
 
@@ -56,7 +56,7 @@
 fn the_proof_of_another_node_counts_from_the_time_in_it_however_late_it_comes() {
     let mut freshness = proved();
 
-    freshness.note(proof(3, 52_000));
+    freshness.record_proof(proof(3, 52_000));
 
     let age = freshness.age(at(9_000)).expect("a proof");
     // At the earliest 2 s after the question at 1 s, less what clocks may drift apart.
@@ -67,9 +67,9 @@
 fn a_proof_of_a_newer_revision_counts_once_that_is_in_force() {
     let mut freshness = proved();
 
-    freshness.note(proof(4, 52_000));
+    freshness.record_proof(proof(4, 52_000));
     let before = freshness.age(at(4_000));
-    freshness.hold(Revision(4));
+    freshness.set_revision(Revision(4));
     let after = freshness.age(at(4_000));
 
     assert_eq!(before, Some(millis(3_000)));
@@ -79,11 +79,11 @@
 #[test]
 fn an_older_proof_changes_nothing() {
     let mut freshness = proved();
-    freshness.note(proof(3, 52_000));
+    freshness.record_proof(proof(3, 52_000));
     let before = freshness.age(at(4_000));
 
-    freshness.note(proof(3, 51_000));
-    freshness.note_store(at(1_000), proof(3, 50_000));
+    freshness.record_proof(proof(3, 51_000));
+    freshness.record_store_proof(at(1_000), proof(3, 50_000));
 
     assert_eq!(freshness.age(at(4_000)), before);
 }
@@ -92,7 +92,7 @@
 fn a_proof_from_the_time_to_come_proves_nothing() {
     let mut freshness = proved();
 
-    freshness.note(proof(3, 90_000));
+    freshness.record_proof(proof(3, 90_000));
 
     assert_eq!(freshness.age(at(4_000)), None);
 }
@@ -101,22 +101,22 @@
 fn others_are_told_only_what_holds_for_the_revision_that_goes_with_it() {
     let freshness = proved();
 
-    assert_eq!(freshness.told(Revision(3)), Some(StoreTime(50_000)));
-    assert_eq!(freshness.told(Revision(4)), Some(StoreTime(50_000)));
-    assert_eq!(freshness.told(Revision(2)), None);
+    assert_eq!(freshness.proof_time_for(Revision(3)), Some(StoreTime(50_000)));
+    assert_eq!(freshness.proof_time_for(Revision(4)), Some(StoreTime(50_000)));
+    assert_eq!(freshness.proof_time_for(Revision(2)), None);
 }
 
 #[test]
 fn a_store_without_a_clock_proves_something_to_who_asked() {
     let mut freshness = ConfigFreshness::default();
-    freshness.hold(Revision(3));
+    freshness.set_revision(Revision(3));
 
-    freshness.note_own(at(1_000), Revision(3));
-    freshness.note_own(at(2_000), Revision(4));
+    freshness.record_local_read(at(1_000), Revision(3));
+    freshness.record_local_read(at(2_000), Revision(4));
 
     // Revision 4 is the newest, and not in force: the node knows that it is behind.
     assert_eq!(freshness.age(at(3_000)), None);
-    freshness.hold(Revision(4));
+    freshness.set_revision(Revision(4));
     assert_eq!(freshness.age(at(3_000)), Some(millis(1_000)));
 }
 
@@ -226,7 +226,7 @@
 
     fn tell(&mut self, node: usize) {
         let held = Revision(self.nodes[node].held as u64);
-        let Some(at) = self.nodes[node].freshness.told(held) else { return };
+        let Some(at) = self.nodes[node].freshness.proof_time_for(held) else { return };
         let to = self.rng.random_range(0..NODES);
         let arrives = self.now + self.delay();
         let content = Content::Told(RevisionProof { revision: held, at });
@@ -237,7 +237,7 @@
         let newest = self.accepted.len() - 1;
         let node = &mut self.nodes[node];
         node.held = node.held.max(self.rng.random_range(node.held..=newest));
-        node.freshness.hold(Revision(node.held as u64));
+        node.freshness.set_revision(Revision(node.held as u64));
     }
 
     fn deliver(&mut self) {
@@ -248,9 +248,9 @@
                 Content::Answer { asked, reached } => {
                     let known = self.accepted.iter().filter(|accepted| **accepted <= reached);
                     let newest = known.count() as u64 - 1;
-                    freshness.note_store(asked, proof(newest, STORE_OFFSET + reached));
+                    freshness.record_store_proof(asked, proof(newest, STORE_OFFSET + reached));
                 }
-                Content::Told(proof) => freshness.note(proof),
+                Content::Told(proof) => freshness.record_proof(proof),
             }
         }
     }
--- a/crates/coltsfootroute/tests/integration/freshness/config_world.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/config_world.rs
@@ -2,12 +2,12 @@
 //!
 //! The decisions are the library's. What is modelled: a question to the store that stays open until there is a change, each
 //! on a connection of its own; connections that go silent for good and are given up by
-//! keep-alives; a store that takes questions and never answers them; pulls from peers that may be dead.
+//! keep-alives; a store that takes polls and never answers them; pulls from peers that may be dead.
 
 use std::{mem, time::Duration};
 
 use coltsfootroute::{
-    freshness::{FeedHold, FeedWatch, RevisionProof, StoreTime},
+    freshness::{FeedMonitor, FeedTimeout, RevisionProof, StoreTime},
     id::NodeId,
     membership::GossipEffect,
     revision::{PullPlan, Revision},
@@ -23,9 +23,9 @@
 const STEP: Duration = Duration::from_millis(20);
 /// Time in which an accepted change is in force, as the users state it.
 pub const APPLY_TIME: Duration = Duration::from_millis(2_000);
-/// A node that was harmed so long ago or less is excused, and all are so long after the store was.
-const EXCUSED_TIME: Duration = Duration::from_millis(3_000);
-/// Pause between two open questions, and after a failure.
+/// A node that was fault_at so long ago or less is excused, and all are so long after the store was.
+const EXEMPT_TIME: Duration = Duration::from_millis(3_000);
+/// Pause between two open polls, and after a failure.
 const FEED_PAUSE: Duration = Duration::from_millis(400);
 /// Time for an answer beyond what it is held, and longest time of a pull.
 const ANSWER_TIME: Duration = Duration::from_secs(1);
@@ -36,27 +36,27 @@
 const SERVICES: [&str; 2] = ["logbook", "renewals"];
 
 /// A question that the store holds until there is a change.
-struct OpenQuestion {
+struct PendingPoll {
     asked: MonotonicTime,
     ends: MonotonicTime,
     /// When its connection is given up, if that is silent.
     broken: Option<MonotonicTime>,
     /// The store has taken it and will not answer.
-    is_swallowed: bool,
-    watch: FeedWatch,
+    is_dropped: bool,
+    watch: FeedMonitor,
 }
 
 struct ConfigNode {
     held: Revision,
     /// Newest revision that the store has told of.
     heard: Revision,
-    feed: Option<OpenQuestion>,
+    feed: Option<PendingPoll>,
     feed_due: MonotonicTime,
-    hold: FeedHold,
+    hold: FeedTimeout,
     plan: PullPlan,
     /// Pulls from peers that don't answer, and when they end.
     pulls: Vec<(NodeId, MonotonicTime)>,
-    harmed: Option<MonotonicTime>,
+    fault_at: Option<MonotonicTime>,
 }
 
 pub struct ConfigWorld {
@@ -65,11 +65,11 @@
     rng: Pcg64,
     /// Newest accepted revision first.
     accepted: Vec<(Revision, MonotonicTime)>,
-    /// The store takes questions and never answers them until then.
+    /// The store takes polls and never answers them until then.
     silent_until: MonotonicTime,
-    store_harmed: Option<MonotonicTime>,
+    store_fault_at: Option<MonotonicTime>,
     /// Questions to the store.
-    pub questions: u64,
+    pub polls: u64,
     pub breaches: Vec<String>,
 }
 
@@ -93,8 +93,8 @@
             rng,
             accepted,
             silent_until: MonotonicTime::ZERO,
-            store_harmed: None,
-            questions: 0,
+            store_fault_at: None,
+            polls: 0,
             breaches: Vec::new(),
         };
         world.run(Duration::from_secs(5));
@@ -116,30 +116,30 @@
     }
 
     /// Open connections of a node to the store go silent for good, without a reset.
-    pub fn silence(&mut self, id: NodeId) {
+    pub fn silence_connections(&mut self, id: NodeId) {
         let broken = self.net.now + KEEPALIVE_TIME;
         let node = &mut self.nodes[&id];
-        node.harmed = Some(self.net.now);
+        node.fault_at = Some(self.net.now);
         if let Some(feed) = &mut node.feed {
             feed.broken.get_or_insert(broken);
         }
     }
 
-    /// The store takes questions and never answers them; those that are open already stay so too.
+    /// The store takes polls and never answers them; those that are open already stay so too.
     pub fn silence_store(&mut self, lasts: Duration) {
         self.silent_until = self.net.now + lasts;
-        self.store_harmed = Some(self.silent_until);
+        self.store_fault_at = Some(self.silent_until);
         for node in self.nodes.values_mut() {
             if let Some(feed) = &mut node.feed {
-                feed.is_swallowed = true;
+                feed.is_dropped = true;
             }
         }
     }
 
     /// The store has taken a node's open question and will never answer it.
-    pub fn swallow(&mut self, id: NodeId) {
+    pub fn drop_poll(&mut self, id: NodeId) {
         if let Some(feed) = &mut self.nodes[&id].feed {
-            feed.is_swallowed = true;
+            feed.is_dropped = true;
         }
     }
 
@@ -151,7 +151,7 @@
     /// A node loses power without a word.
     pub fn kill(&mut self, id: NodeId) {
         self.net.kill(id);
-        self.nodes[&id].harmed = Some(self.net.now);
+        self.nodes[&id].fault_at = Some(self.net.now);
     }
 
     /// It starts again and knows nothing.
@@ -161,7 +161,7 @@
         self.net.announce(id, service);
         self.net.watch(id, &SERVICES);
         let mut node = ConfigNode::new(self.net.now);
-        node.harmed = Some(self.net.now);
+        node.fault_at = Some(self.net.now);
         self.nodes.insert(id, node);
     }
 
@@ -191,12 +191,12 @@
     }
 
     fn step(&mut self, id: NodeId) {
-        self.hear_peers(id);
+        self.receive_peer_revisions(id);
         self.follow(id);
         self.pull(id);
     }
 
-    fn hear_peers(&mut self, id: NodeId) {
+    fn receive_peer_revisions(&mut self, id: NodeId) {
         for event in mem::take(&mut self.net.nodes[&id].events) {
             if let GossipEffect::RevisionBehind { peer, revision } = event {
                 self.nodes[&id].plan.hear(peer, Revision(revision));
@@ -211,35 +211,35 @@
         let Some(feed) = &mut node.feed else {
             if now >= node.feed_due {
                 let ends = now + node.hold.draw(nodes, &mut self.rng);
-                let watch = FeedWatch::new(node.heard);
-                let (asked, broken, is_swallowed) = (now, None, is_silent);
-                node.feed = Some(OpenQuestion { asked, ends, broken, is_swallowed, watch });
-                self.questions += 1;
+                let watch = FeedMonitor::new(node.heard);
+                let (asked, broken, is_dropped) = (now, None, is_silent);
+                node.feed = Some(PendingPoll { asked, ends, broken, is_dropped, watch });
+                self.polls += 1;
             }
             return;
         };
-        let is_deaf = feed.is_swallowed || feed.broken.is_some();
+        let is_stale = feed.is_dropped || feed.broken.is_some();
         let asked = feed.asked;
-        let is_answered = !is_deaf && (newest > node.heard || now >= feed.ends);
+        let is_answered = !is_stale && (newest > node.heard || now >= feed.ends);
         let is_failed = feed.broken.is_some_and(|broken| now >= broken)
             || now >= feed.ends + ANSWER_TIME
-            || feed.watch.is_deaf(now, node.held);
+            || feed.watch.is_stale(now, node.held);
         if is_answered || is_failed {
             node.feed = None;
             node.feed_due = now + FEED_PAUSE;
-            node.hold.note_end(is_failed || newest > node.heard);
+            node.hold.record_end(is_failed || newest > node.heard);
         }
         if is_answered {
             // What the answer proves counts from the question, but its clock is read at the answer.
-            self.hear_store(id, asked);
+            self.receive_store_answer(id, asked);
         }
     }
 
-    fn hear_store(&mut self, id: NodeId, asked: MonotonicTime) {
+    fn receive_store_answer(&mut self, id: NodeId, asked: MonotonicTime) {
         let (revision, at) =
             (self.accepted[0].0, StoreTime(STORE_CLOCK_MS + self.net.now.0 / 1_000));
         self.nodes[&id].heard = revision;
-        self.net.nodes[&id].freshness.note_store(asked, RevisionProof { revision, at });
+        self.net.nodes[&id].freshness.record_store_proof(asked, RevisionProof { revision, at });
         self.hold(id, revision);
     }
 
@@ -266,7 +266,7 @@
         node.held = node.held.max(revision);
         let state = &mut self.net.nodes[&id];
         state.engine.set_revision(node.held.0);
-        state.freshness.hold(node.held);
+        state.freshness.set_revision(node.held);
     }
 
     fn is_silent(&self) -> bool {
@@ -275,16 +275,16 @@
 
     fn check(&mut self) {
         let now = self.net.now;
-        let is_excused = |harmed: Option<MonotonicTime>| {
-            harmed.is_some_and(|harmed| now < harmed + EXCUSED_TIME)
+        let is_exempt = |fault_at: Option<MonotonicTime>| {
+            fault_at.is_some_and(|fault_at| now < fault_at + EXEMPT_TIME)
         };
-        if is_excused(self.store_harmed) {
+        if is_exempt(self.store_fault_at) {
             return;
         }
         let due = self.accepted.iter().find(|(_, at)| *at + APPLY_TIME <= now);
         let Some((due, _)) = due.copied() else { return };
         for (id, node) in &self.nodes {
-            if self.is_up(*id) && !is_excused(node.harmed) && node.held < due {
+            if self.is_up(*id) && !is_exempt(node.fault_at) && node.held < due {
                 self.breaches.push(format!("{now:?}: {id} holds {:?}, not {due:?}", node.held));
             }
         }
@@ -298,10 +298,10 @@
             heard: Revision::ZERO,
             feed: None,
             feed_due: now,
-            hold: FeedHold::new(),
+            hold: FeedTimeout::new(),
             plan: PullPlan::new(),
             pulls: Vec::new(),
-            harmed: None,
+            fault_at: None,
         }
     }
 }
--- a/crates/coltsfootroute/tests/integration/freshness/head_interval.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/head_interval.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfootroute::freshness::draw_head_pause;
+use coltsfootroute::freshness::draw_head_interval;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -14,7 +14,7 @@
 fn some_node_reads_every_other_second_whatever_their_number(#[case] nodes: u16) {
     let mut rng = Pcg64::seed_from_u64(3);
 
-    let pauses = (0..1_000).map(|_| draw_head_pause(usize::from(nodes), &mut rng));
+    let pauses = (0..1_000).map(|_| draw_head_interval(usize::from(nodes), &mut rng));
 
     let mean = pauses.sum::<Duration>() / 1_000 / u32::from(nodes);
     assert!((Duration::from_secs(1)..Duration::from_secs(2)).contains(&mean), "{mean:?}");
@@ -24,7 +24,7 @@
 fn the_reads_of_a_fleet_of_thousands_stay_far_below_the_rate_of_the_store() {
     let mut rng = Pcg64::seed_from_u64(3);
 
-    let shortest = (0..1_000).map(|_| draw_head_pause(18_000, &mut rng)).min().expect("some");
+    let shortest = (0..1_000).map(|_| draw_head_interval(18_000, &mut rng)).min().expect("some");
 
     assert!(shortest >= Duration::from_secs(300), "{shortest:?}");
 }
--- a/crates/coltsfootroute/tests/integration/freshness/silence.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/silence.rs
@@ -15,7 +15,7 @@
     Duration::from_secs(seconds)
 }
 
-/// Guards against a fleet whose questions for changes all wait on silent connections: nobody hears of a change, and so
+/// Guards against a fleet whose polls for changes all wait on silent connections: nobody hears of a change, and so
 /// nobody tells the others.
 #[rstest]
 #[case::small(5)]
@@ -25,7 +25,7 @@
     for seed in 0..SEEDS {
         let mut world = ConfigWorld::new(seed, nodes);
         for id in world.ids() {
-            world.silence(id);
+            world.silence_connections(id);
         }
 
         world.run(Duration::from_millis(100));
@@ -36,7 +36,7 @@
     }
 }
 
-/// Guards against questions that a store has taken and will never answer: it looks like a time without changes.
+/// Guards against polls that a store has taken and will never answer: it looks like a time without changes.
 #[rstest]
 #[case::small(5)]
 #[case::medium(14)]
@@ -60,7 +60,7 @@
     for seed in 0..SEEDS {
         let mut world = ConfigWorld::new(seed, 8);
         for id in world.ids() {
-            world.silence(id);
+            world.silence_connections(id);
         }
         world.run(seconds(3));
 
@@ -82,7 +82,7 @@
     for seed in 0..SEEDS {
         let mut world = ConfigWorld::new(seed, 40);
         let node = world.ids()[0];
-        world.swallow(node);
+        world.drop_poll(node);
         world.change();
         world.run(seconds(3));
 
@@ -113,11 +113,11 @@
 
 fn harm(world: &mut ConfigWorld, rng: &mut Pcg64, dead: &mut Vec<NodeId>) {
     match rng.random_range(0..6) {
-        0 => world.ids().into_iter().for_each(|id| world.silence(id)),
+        0 => world.ids().into_iter().for_each(|id| world.silence_connections(id)),
         1 => {
             let share = world.ids().len() / 2;
             let some = world.ids().into_iter().sample(rng, share);
-            some.into_iter().for_each(|id| world.silence(id));
+            some.into_iter().for_each(|id| world.silence_connections(id));
         }
         2 => world.silence_store(Duration::from_millis(rng.random_range(200..2_000))),
         3 => {
@@ -139,14 +139,14 @@
     let rest = seconds(60);
     let mut world = ConfigWorld::new(7, nodes);
     world.run(seconds(10));
-    let (before, began): (u64, MonotonicTime) = (world.questions, world.now());
+    let (before, began): (u64, MonotonicTime) = (world.polls, world.now());
 
     world.run(rest);
 
-    let asked = world.questions - before;
+    let asked = world.polls - before;
     let elapsed = world.now().since(began).as_secs();
-    assert!(asked <= MOST_QUESTIONS_A_SECOND * elapsed, "{asked} of {nodes}");
+    assert!(asked <= MAX_POLLS_PER_S * elapsed, "{asked} of {nodes}");
 }
 
 /// Questions a second of all nodes together.
-const MOST_QUESTIONS_A_SECOND: u64 = 3;
+const MAX_POLLS_PER_S: u64 = 3;
--- a/crates/coltsfootroute/tests/integration/membership/network.rs
+++ b/crates/coltsfootroute/tests/integration/membership/network.rs
@@ -223,7 +223,7 @@
             Life::Up => {
                 if let Some(at) = message.confirmed {
                     let revision = Revision(message.revision);
-                    state.freshness.note(RevisionProof { revision, at });
+                    state.freshness.record_proof(RevisionProof { revision, at });
                 }
                 let effects = state.engine.receive(self.now, &mut self.rng, from, message);
                 self.carry_out(to, effects);
@@ -245,7 +245,7 @@
     }
 
     fn send(&mut self, from: NodeId, to: NodeId, message: GossipMessage) {
-        let confirmed = self.nodes[&from].freshness.told(Revision(message.revision));
+        let confirmed = self.nodes[&from].freshness.proof_time_for(Revision(message.revision));
         let message = GossipMessage { confirmed, ..message };
         assert!(message.wire_bytes() <= 1_200, "{message:?}");
         if self.rng.random_range(0..100) < self.loss_percent {
