--- a/crates/coltsfootroute/src/once.rs
+++ b/crates/coltsfootroute/src/once.rs
@@ -1,9 +1,9 @@
 //! At-most-once execution of operations that must not be repeated.
 //!
 //! The guard beside the upstream claims an idempotency key by a conditional write immediately before
-//! dispatch, and dispatches only with the [`ClaimTicket`] that the claim gives. Nobody takes a claim over
-//! to run it again; only its holder may release it, and only if it never dispatched. Rows are never
-//! deleted, so the version of a row only rises and fences every late write.
+//! dispatch, and dispatches only with the [`ClaimTicket`] that the claim returns. No other node takes over
+//! a claim to run its request again; only the holder may release it, and only if it never dispatched.
+//! Rows are never deleted, so the version of a row only increases and fences off every delayed write.
 
 mod answer_body;
 mod answer_header;
--- a/crates/coltsfootroute/src/once/answer_body.rs
+++ b/crates/coltsfootroute/src/once/answer_body.rs
@@ -5,14 +5,14 @@
 use super::{BodyDigest, ClaimId};
 
 record_type! {
-    /// Where the body of a stored answer is.
+    /// Location of the body of a stored answer.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum AnswerBody {
         /// In the record itself, as Base64.
         Inline(#[serde(with = "base64_text")] Vec<u8>),
-        /// In the object store. Where it is missing there, the record has expired since it was read:
-        /// answer as for [`ClaimResult::Expired`](super::ClaimResult::Expired).
+        /// In the object store. If the object is missing, the record has expired since it was read, and
+        /// the request is answered as for [`ClaimResult::Expired`](super::ClaimResult::Expired).
         Object {
             /// Name of the object.
             name: String,
@@ -23,7 +23,7 @@
 }
 
 impl AnswerBody {
-    /// Name of the object that holds the answer of `claim_id`.
+    /// Returns the name of the object that holds the answer of `claim_id`.
     pub fn object_name(claim_id: ClaimId) -> String {
         format!("once-{claim_id}")
     }
--- a/crates/coltsfootroute/src/once/answer_header.rs
+++ b/crates/coltsfootroute/src/once/answer_header.rs
@@ -1,7 +1,7 @@
 //! A header of a stored answer.
 
 record_type! {
-    /// A header of the upstream's answer that is replayed with it.
+    /// A header of the upstream's answer, replayed with the answer.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct AnswerHeader {
--- a/crates/coltsfootroute/src/once/answer_machine.rs
+++ b/crates/coltsfootroute/src/once/answer_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine that stores how a run ended.
+//! State machine that stores the result of a run.
 
 use super::{
     AnswerBody, BodyDigest, ClaimDetails, ClaimRecord, RunAnswer, StoredAnswer, TaskReply,
@@ -7,32 +7,32 @@
 use crate::table::{ObjectReply, RowKey, RowVersion, TableReply};
 
 record_type! {
-    /// Stores the end of a run over its claim. Every request may be sent again: the object has one
-    /// content, and the write is conditional on the claim's version.
+    /// Overwrites a claim with the result of its run. Every request may be sent again: the content of
+    /// the object never changes, and the write is conditional on the claim's version.
     pub struct AnswerMachine {
         claim: ClaimDetails,
         row_key: RowKey,
-        /// Version at which the claim stands.
+        /// Version of the row that holds the claim.
         version: RowVersion,
         record: ClaimRecord,
-        /// Large body that has still to be stored.
+        /// Large body that is not stored yet.
         object: Option<Vec<u8>>,
     }
 }
 
-/// What came of one request.
+/// Progress after the reply to one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerProgress {
-    /// More is to be sent.
+    /// Another request is to be sent.
     Next,
-    /// The store didn't answer: try again later.
+    /// The store didn't answer; the request is sent again after a delay.
     Retry,
-    /// Settled: the end is stored, or the key's record has expired meanwhile.
+    /// The result is stored, or the key's record has expired in the meantime.
     Settled,
 }
 
 impl AnswerMachine {
-    /// Stores a complete answer; a body of more than `max_inline_bytes` bytes as an object.
+    /// Stores a complete answer. A body of more than `max_inline_bytes` bytes becomes an object.
     pub(super) fn finished(
         claim: ClaimDetails,
         row_key: RowKey,
@@ -59,8 +59,8 @@
         Self { claim, row_key, version, record, object: None }
     }
 
-    /// How the run ended, as far as repeats at this guard can be told: an answer whose body isn't stored
-    /// yet can't be replayed.
+    /// Returns the record for repeats that reach this guard before it is stored; `None` while the body
+    /// is still to be stored as an object, since such an answer can't be replayed yet.
     pub(super) fn replayable(&self) -> Option<&ClaimRecord> {
         self.object.is_none().then_some(&self.record)
     }
@@ -86,8 +86,8 @@
             }
             TaskReply::Object(_) => AnswerProgress::Retry,
             TaskReply::Table(TableReply::Committed) => AnswerProgress::Settled,
-            // Only this holder and the sweeper write over a claim: the row is the own earlier write,
-            // whose answer was lost, or a record that has expired.
+            // Only this holder and the sweeper overwrite a claim: the row holds either this machine's
+            // earlier write, whose acknowledgement was lost, or an expired record.
             TaskReply::Table(TableReply::Conflict(_)) => AnswerProgress::Settled,
             TaskReply::Table(_) => AnswerProgress::Retry,
         }
--- a/crates/coltsfootroute/src/once/body_digest.rs
+++ b/crates/coltsfootroute/src/once/body_digest.rs
@@ -7,14 +7,15 @@
 use super::hex_text;
 
 value_type! {
-    /// SHA-256 of a request's body: tells a repeat of a request from another request under the same key.
+    /// SHA-256 of a request's body. Distinguishes a repeat of a request from another request that uses
+    /// the same key.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(try_from = "String", into = "String")]
     pub struct BodyDigest([u8; 32]);
 }
 
 impl BodyDigest {
-    /// The digest of `body`.
+    /// Computes the digest of `body`.
     pub fn of(body: &[u8]) -> Self {
         Self(Sha256::digest(body).into())
     }
--- a/crates/coltsfootroute/src/once/busy_verdict.rs
+++ b/crates/coltsfootroute/src/once/busy_verdict.rs
@@ -1,12 +1,12 @@
-//! What to do with a repeat whose key another attempt holds.
+//! Decision on a repeat whose key another attempt has claimed.
 
 use super::{HolderAnswer, HolderView};
 use crate::outcome::CallOutcome;
 
 value_type! {
-    /// What to do with a request that met [`ClaimResult::Busy`](super::ClaimResult::Busy).
+    /// What to do with a request whose claim ended in [`ClaimResult::Busy`](super::ClaimResult::Busy).
     pub enum BusyVerdict {
-        /// The row has moved on or is about to: begin again, within the deadline.
+        /// The row has changed or is about to: begin a new claim, within the deadline.
         Retry,
         /// Refuse with this outcome.
         Refuse(CallOutcome),
@@ -14,8 +14,8 @@
 }
 
 impl BusyVerdict {
-    /// Judges by what was learnt of the holder. No answer lets another guard run the key: only the
-    /// holder's own release, seen in the table, does.
+    /// Decides by the state of the holder. No answer of a holder allows another guard to run the request;
+    /// only the holder's release, read from the table, does.
     pub fn of(view: HolderView) -> Self {
         match view {
             HolderView::Answered(HolderAnswer::NeverDispatched) => {
--- a/crates/coltsfootroute/src/once/claim_details.rs
+++ b/crates/coltsfootroute/src/once/claim_details.rs
@@ -1,21 +1,21 @@
-//! What a record says of the claim on its key.
+//! Details of a claim, as part of its record.
 
 use super::{BodyDigest, ClaimHolder, ClaimId, WallTime};
 
 value_type! {
-    /// Who claimed a key, for which body, and until when its record answers repeats.
+    /// Details of a claim: its holder, the body that was claimed, and the end of the record's retention.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct ClaimDetails {
-        /// The claim.
+        /// Identifier of the claim.
         pub claim_id: ClaimId,
-        /// The life of a node that made it.
+        /// Incarnation of the node that made the claim.
         pub holder: ClaimHolder,
-        /// Digest of the body that was claimed.
+        /// Digest of the body of the claimed request.
         pub body_digest: BodyDigest,
-        /// When it was made.
+        /// Time at which the claim was made.
         pub at: WallTime,
-        /// When the retention ends: from then on the key is refused.
+        /// End of the retention: from this time on, requests with the key are refused.
         pub until: WallTime,
     }
 }
--- a/crates/coltsfootroute/src/once/claim_holder.rs
+++ b/crates/coltsfootroute/src/once/claim_holder.rs
@@ -5,21 +5,21 @@
 use crate::id::{Incarnation, NodeId};
 
 value_type! {
-    /// One life of a node. A claim stays with the life that made it: a restarted node doesn't know
-    /// what the life before it dispatched.
+    /// One incarnation of a node. A claim belongs to the incarnation that made it: a restarted node
+    /// doesn't know what its previous incarnation dispatched.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct ClaimHolder {
         /// The node.
         pub node: NodeId,
-        /// Its life.
+        /// The node's incarnation.
         #[serde(with = "incarnation_number")]
         pub incarnation: Incarnation,
     }
 }
 
 impl ClaimHolder {
-    /// Whether `self` is a later life of the node that `other` was.
+    /// Returns whether `self` is a later incarnation of the same node as `other`.
     pub fn succeeds(self, other: Self) -> bool {
         self.node == other.node && self.incarnation > other.incarnation
     }
@@ -31,7 +31,7 @@
     }
 }
 
-/// An incarnation as a plain number in records.
+/// Serializes an incarnation as a plain number in records.
 mod incarnation_number {
     use serde::{Deserialize, Deserializer, Serializer};
 
--- a/crates/coltsfootroute/src/once/claim_id.rs
+++ b/crates/coltsfootroute/src/once/claim_id.rs
@@ -1,16 +1,16 @@
-//! Identity of a claim.
+//! Identifier of a claim.
 
 use rand::{Rng, RngExt};
 
 value_type! {
-    /// One attempt to claim a key, drawn at random. Shown as 32 hexadecimal digits.
+    /// Random identifier of one attempt to claim a key. Displayed as 32 hexadecimal digits.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(try_from = "String", into = "String")]
     pub struct ClaimId(pub u128);
 }
 
 impl ClaimId {
-    /// Draws an identity.
+    /// Draws a random identifier.
     pub fn draw(rng: &mut impl Rng) -> Self {
         Self(rng.random())
     }
--- a/crates/coltsfootroute/src/once/claim_machine.rs
+++ b/crates/coltsfootroute/src/once/claim_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one claim.
+//! State machine that claims one key.
 
 use super::{
     ClaimDetails, ClaimRecord, ClaimRefusal, ClaimResult, ClaimStep, ClaimTicket,
@@ -11,29 +11,29 @@
     time::MonotonicTime,
 };
 
-/// Claims one key. Each reply must be that of the request given last.
+/// Claims one key. Each reply must answer the request that was returned last.
 ///
-/// A write without an answer is resolved by reading the row back and looking for the own claim id.
-/// The same claim may then be written again: both writes have the same condition, and as rows are
-/// never deleted at most one of them can take effect.
+/// A write without an answer is resolved by reading the row and comparing its claim id with the id of
+/// this claim. The same claim may then be written again: both writes have the same condition, and as
+/// rows are never deleted, at most one of them can take effect.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ClaimMachine {
     claim: ClaimDetails,
     row_key: RowKey,
     deadline: MonotonicTime,
-    /// What the claim is written on; `None` for no row.
+    /// Version of the row that the claim overwrites; `None` if there is no row.
     base: Option<RowVersion>,
-    /// Whether a claim written on `base` may have taken effect, or may still do so.
+    /// Whether a write of the claim conditional on `base` may have taken effect or may still do so.
     is_in_doubt: bool,
-    /// Requests still granted.
+    /// Number of requests that may still be sent.
     requests_left: u32,
 }
 
-/// Requests that one claim sends at the most.
+/// Largest number of requests that one claim sends to the store.
 const MAX_REQUESTS: u32 = 8;
 
 impl ClaimMachine {
-    /// Prepares to write `claim` to `row_key` before `deadline`.
+    /// Creates a machine that writes `claim` to `row_key` before `deadline`.
     pub fn new(claim: ClaimDetails, row_key: RowKey, deadline: MonotonicTime) -> Self {
         Self {
             claim,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The first request: a write that takes effect if the key was never claimed.
+    /// Returns the first request: a write that takes effect only if the key was never claimed.
     pub fn start(&mut self) -> TableRequest {
         self.write()
     }
 
-    /// Takes the reply to the last request.
+    /// Handles the reply to the last request.
     pub fn on_reply(&mut self, reply: &TableReply, now: MonotonicTime) -> ClaimStep {
         match reply {
             TableReply::Committed => self.claimed_at(row_view::version_after(self.base), now),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What the claim may have left in the table if it is given up while a request is under way.
+    /// Returns what the claim may have written to the table if it is cancelled while a request is pending.
     pub(super) fn effect(&self) -> ClaimEffect {
         ClaimEffect::InDoubt(self.base)
     }
@@ -77,7 +77,8 @@
             {
                 self.claimed_at(version, now)
             }
-            // Any other record stands on the base or on a later version: no own write can follow.
+            // Any other record is at the base version or a later one, so that no write of this claim
+            // can take effect any more.
             RowView::Present(_, record) => ClaimStep::Done(self.judge(record)),
             RowView::Unreadable => {
                 self.is_in_doubt = false;
@@ -98,17 +99,18 @@
             ClaimRecord::Claimed(claim) if !self.claim.holder.succeeds(claim.holder) => {
                 ClaimResult::Busy(claim)
             }
-            // The earlier life of this node may have dispatched it: nobody can tell any more.
+            // The previous incarnation of this node may have dispatched the request, and no node
+            // knows whether it did.
             ClaimRecord::Claimed(_) | ClaimRecord::Interrupted(_) => ClaimResult::Interrupted,
-            // Taken out before, by the caller and above.
+            // Unreachable: the caller handles `Free`, and `is_expired` above handles `Expired`.
             ClaimRecord::Free | ClaimRecord::Expired => ClaimResult::Expired,
         }
     }
 
-    /// Writes the claim on `base`, which the last reply has shown.
+    /// Writes the claim again, conditional on the version `base` that the last reply contained.
     fn write_again(&mut self, base: Option<RowVersion>, now: MonotonicTime) -> ClaimStep {
         if base != self.base {
-            // The row has moved on: earlier writes can't take effect any more.
+            // The row has another version now: earlier writes can't take effect any more.
             self.is_in_doubt = false;
         }
         self.base = base;
--- a/crates/coltsfootroute/src/once/claim_record.rs
+++ b/crates/coltsfootroute/src/once/claim_record.rs
@@ -1,44 +1,44 @@
-//! The row of a key.
+//! Record of a key in the table.
 
 use super::{ClaimDetails, StoredAnswer, WallTime};
 
 record_type! {
-    /// What the table holds for a key, as JSON. A key that was never claimed has no row; a row is never
-    /// deleted.
+    /// Record of a key, stored in its row as JSON. A key that was never claimed has no row; a row is
+    /// never deleted.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case", deny_unknown_fields)]
     pub enum ClaimRecord {
-        /// Claims of the key were released by holders that never dispatched; it may be claimed.
+        /// All claims of the key were released by holders that never dispatched; the key may be claimed.
         Free,
-        /// Claimed: may be running, have run, or never run.
+        /// The key is claimed: the request may be running, may have run, or may never run.
         Claimed(ClaimDetails),
-        /// Ran to its end.
+        /// The request ran and gave a complete answer.
         Finished {
             /// The claim under which it ran.
             claim: ClaimDetails,
             /// Its answer.
             answer: StoredAnswer,
         },
-        /// Ran without giving a complete answer.
+        /// The request ran without giving a complete answer.
         Interrupted(ClaimDetails),
-        /// Small remainder of a record whose retention has ended: the key is refused for good.
+        /// Tombstone of a record whose retention has ended: the key is refused permanently.
         Expired,
     }
 }
 
 impl ClaimRecord {
-    /// Parses a row's value; `None` if it isn't a record of this version.
+    /// Parses a row's value; `None` if it isn't a record that this version can read.
     pub fn parse(value: &str) -> Option<Self> {
         serde_json::from_str(value).ok()
     }
 
-    /// The row's value.
+    /// Serializes the record to the row's value.
     pub fn to_value(&self) -> String {
         // Records hold text and numbers only, for which serialization can't fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// The claim that the record is about, if there is one.
+    /// Returns the claim that the record contains; `None` for `Free` and `Expired`.
     pub fn claim(&self) -> Option<&ClaimDetails> {
         match self {
             Self::Claimed(claim) | Self::Finished { claim, .. } | Self::Interrupted(claim) => {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether the retention has ended by `now`.
+    /// Returns whether the retention has ended at `now`.
     pub fn is_expired(&self, now: WallTime) -> bool {
         match self {
             Self::Expired => true,
--- a/crates/coltsfootroute/src/once/claim_refusal.rs
+++ b/crates/coltsfootroute/src/once/claim_refusal.rs
@@ -3,23 +3,23 @@
 use crate::{outcome::RefusalReason, table::RowVersion};
 
 value_type! {
-    /// The request was not dispatched and never will be under this claim.
+    /// Refusal of a request that was not dispatched and never will be under this claim.
     pub struct ClaimRefusal {
-        /// Why.
+        /// Reason of the refusal.
         pub reason: RefusalReason,
-        /// Whether and where the claim may stand in the table, so that it has to be released.
+        /// What the claim may have written to the table and has to be released from there.
         pub(super) effect: ClaimEffect,
     }
 }
 
 value_type! {
-    /// What a claim that won't be dispatched may have left in the table.
+    /// What a claim that won't be dispatched may have written to the table.
     pub(super) enum ClaimEffect {
         /// Nothing, now or later.
         None,
-        /// A write on the base given (`None`: no row) may have taken effect, or may still do so.
+        /// A write conditional on this version (`None`: no row) may have taken effect, or may still do so.
         InDoubt(Option<RowVersion>),
-        /// The claim stands at this version.
+        /// The claim is stored at this version.
         Stored(RowVersion),
     }
 }
--- a/crates/coltsfootroute/src/once/claim_result.rs
+++ b/crates/coltsfootroute/src/once/claim_result.rs
@@ -1,41 +1,41 @@
-//! How an attempt to claim ends.
+//! Result of an attempt to claim a key.
 
 use super::{ClaimDetails, ClaimRefusal, ClaimTicket, StoredAnswer};
 use crate::outcome::{CallOutcome, RefusalReason};
 
-/// How an attempt to claim a key ends.
+/// Result of an attempt to claim a key.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClaimResult {
-    /// Claimed: dispatch with this ticket.
+    /// The key was claimed: dispatch the request with this ticket.
     Dispatch(ClaimTicket),
-    /// It ran before: this is its answer.
+    /// The request has already run; contains its answer.
     Replay(StoredAnswer),
-    /// The key stands with another body.
+    /// The key was claimed for another body.
     Conflict,
     /// The retention of the key's record has ended.
     Expired,
-    /// Claimed by another attempt, whose holder may be asked.
+    /// The key is claimed by another attempt, whose holder may be queried.
     Busy(ClaimDetails),
-    /// It was dispatched, or may have been, by a holder that gave no complete answer.
+    /// The request was dispatched, or may have been, by a holder that stored no complete answer.
     Interrupted,
-    /// Not dispatched.
+    /// The request was not dispatched.
     Refuse(ClaimRefusal),
 }
 
 impl ClaimResult {
-    /// What the caller is told where the result itself answers it; `None` for a dispatch.
+    /// Returns the outcome to report to the caller; `None` for a dispatch, which has none yet.
     pub fn outcome(&self) -> Option<CallOutcome> {
         match self {
             Self::Dispatch(_) => None,
             Self::Replay(_) => Some(CallOutcome::Completed),
-            // The body that came with this request ran nowhere.
+            // The body of this request ran on no upstream.
             Self::Conflict | Self::Refuse(_) => Some(CallOutcome::NotRun),
-            // An earlier attempt with this key and body ran or may have.
+            // An earlier attempt with this key and body ran or may have run.
             Self::Expired | Self::Busy(_) | Self::Interrupted => Some(CallOutcome::Unknown),
         }
     }
 
-    /// The reason in the refusal's body, for results that refuse.
+    /// Returns the reason for the body of the refusal; `None` for results that refuse nothing.
     pub fn reason(&self) -> Option<RefusalReason> {
         match self {
             Self::Dispatch(_) | Self::Replay(_) => None,
--- a/crates/coltsfootroute/src/once/claim_run.rs
+++ b/crates/coltsfootroute/src/once/claim_run.rs
@@ -1,8 +1,8 @@
-//! A run under way.
+//! A request in execution under a claim.
 
 use super::ClaimId;
 
-/// A request that has been dispatched. It can't be copied and is used up by
+/// A request that has been dispatched. It can't be copied and is consumed by
 /// [`OnceGuard::finish`](super::OnceGuard::finish) or
 /// [`OnceGuard::interrupt`](super::OnceGuard::interrupt).
 #[derive(Debug, PartialEq, Eq)]
@@ -12,7 +12,7 @@
 }
 
 impl ClaimRun {
-    /// The claim under which it runs.
+    /// Returns the identifier of the claim under which the request runs.
     pub fn claim_id(&self) -> ClaimId {
         self.claim_id
     }
--- a/crates/coltsfootroute/src/once/claim_ticket.rs
+++ b/crates/coltsfootroute/src/once/claim_ticket.rs
@@ -5,27 +5,27 @@
 use super::{ClaimId, ClaimRun, DispatchVerdict};
 use crate::{table::RowVersion, time::MonotonicTime};
 
-/// The permission, won by a claim, to dispatch its request once. It can't be copied and is used up by
+/// Permission, obtained by a claim, to dispatch its request once. It can't be copied and is consumed by
 /// [`OnceGuard::dispatch`](super::OnceGuard::dispatch) or
 /// [`OnceGuard::abandon`](super::OnceGuard::abandon).
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a claim that isn't dispatched must be abandoned, or it blocks the key"]
 pub struct ClaimTicket {
     pub(super) claim_id: ClaimId,
-    /// Version at which the claim stands in the table.
+    /// Version of the row that holds the claim.
     pub(super) version: RowVersion,
     pub(super) claimed_at: MonotonicTime,
     pub(super) deadline: MonotonicTime,
 }
 
 impl ClaimTicket {
-    /// The claim.
+    /// Returns the identifier of the claim.
     pub fn claim_id(&self) -> ClaimId {
         self.claim_id
     }
 
-    /// The last fence before the upstream: a holder that was paused past its deadline, or for longer than
-    /// `longest_age` since it claimed, does not dispatch.
+    /// Checks the ticket a last time before the request goes to the upstream: a holder that was suspended
+    /// past the deadline, or for longer than `longest_age` since the claim, does not dispatch.
     pub(super) fn dispatch(self, now: MonotonicTime, longest_age: Duration) -> DispatchVerdict {
         if now >= self.deadline || now.since(self.claimed_at) > longest_age {
             return DispatchVerdict::Expired;
--- a/crates/coltsfootroute/src/once/client_key.rs
+++ b/crates/coltsfootroute/src/once/client_key.rs
@@ -1,7 +1,7 @@
 //! Idempotency key as the client sent it.
 
 name_type! {
-    /// The value of the `idempotency-key` header; at most
-    /// [`MAX_KEY_BYTES`](crate::constants::MAX_KEY_BYTES), as the caller has checked.
+    /// Value of the `idempotency-key` header. The caller has checked that it is no longer than
+    /// [`MAX_KEY_BYTES`](crate::constants::MAX_KEY_BYTES).
     ClientKey
 }
--- a/crates/coltsfootroute/src/once/dispatch_verdict.rs
+++ b/crates/coltsfootroute/src/once/dispatch_verdict.rs
@@ -1,12 +1,12 @@
-//! Verdict of the last fence.
+//! Result of the last check before dispatch.
 
 use super::ClaimRun;
 
 /// Whether a claimed request may go to the upstream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DispatchVerdict {
-    /// Send it now.
+    /// Send the request now.
     Run(ClaimRun),
-    /// Too late: refuse it as not run. The claim is being released.
+    /// The ticket has expired: refuse the request as not run. The claim is being released.
     Expired,
 }
--- a/crates/coltsfootroute/src/once/hex_text.rs
+++ b/crates/coltsfootroute/src/once/hex_text.rs
@@ -1,6 +1,6 @@
 //! Hexadecimal text of digests.
 
-/// The bytes as lower-case hexadecimal digits.
+/// Formats the bytes as lower-case hexadecimal digits.
 pub(super) fn to_hex(bytes: &[u8]) -> String {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
     let mut text = String::with_capacity(bytes.len() * 2);
@@ -11,7 +11,7 @@
     text
 }
 
-/// The 32 bytes written as 64 hexadecimal digits, if `text` is that.
+/// Parses 64 hexadecimal digits into 32 bytes; `None` if `text` is anything else.
 pub(super) fn from_hex(text: &str) -> Option<[u8; 32]> {
     if text.len() != 64 || !text.is_ascii() {
         return None;
--- a/crates/coltsfootroute/src/once/holder_answer.rs
+++ b/crates/coltsfootroute/src/once/holder_answer.rs
@@ -1,17 +1,17 @@
-//! What a holder says of a claim.
+//! Answer of a holder to a query about a claim.
 
 value_type! {
-    /// A node's answer when a peer asks about a claim that names it.
+    /// Answer of a node to a peer's query about a claim that names the node as its holder.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum HolderAnswer {
-        /// Claimed, not dispatched, and never will be: the holder is releasing it.
+        /// The request was not dispatched and never will be: the holder is releasing the claim.
         NeverDispatched,
-        /// Dispatched or about to be.
+        /// The request was dispatched or is about to be.
         Running,
-        /// It ran, and its answer is on the way to the table.
+        /// The request ran, and its answer is being stored in the table.
         Finished,
-        /// This life of the node holds no such claim: it was released or its answer is stored.
+        /// This incarnation of the node holds no such claim: it was released, or its answer is stored.
         NotMine,
     }
 }
--- a/crates/coltsfootroute/src/once/holder_view.rs
+++ b/crates/coltsfootroute/src/once/holder_view.rs
@@ -1,15 +1,15 @@
-//! What a guard could learn of a holder.
+//! State of a holder as seen by another guard.
 
 use super::HolderAnswer;
 
 value_type! {
-    /// What a guard learnt of the holder of a claim that is in its way.
+    /// State of the holder of a claim, as seen by a guard whose request uses the same key.
     pub enum HolderView {
-        /// The life that holds the claim answered.
+        /// The incarnation that holds the claim answered.
         Answered(HolderAnswer),
-        /// That life is known to have ended.
+        /// That incarnation is known to have ended.
         Ended,
-        /// It can't be reached; it may be paused, cut off or dead.
+        /// The holder can't be reached; it may be suspended, partitioned or dead.
         Unreachable,
     }
 }
--- a/crates/coltsfootroute/src/once/once_call.rs
+++ b/crates/coltsfootroute/src/once/once_call.rs
@@ -1,4 +1,4 @@
-//! A request that must not run twice.
+//! A request that must run at most once.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use crate::time::MonotonicTime;
 
 record_type! {
-    /// A request that is about to be claimed.
+    /// A request whose key is about to be claimed.
     pub struct OnceCall {
-        /// Its key.
+        /// Key of the request.
         pub key: OnceKey,
-        /// Digest of its body.
+        /// Digest of the request's body.
         pub body_digest: BodyDigest,
-        /// How long its record answers repeats.
+        /// Time for which the record answers repeats.
         pub retention: Duration,
-        /// When the caller gives up.
+        /// Time at which the caller stops waiting.
         pub deadline: MonotonicTime,
     }
 }
--- a/crates/coltsfootroute/src/once/once_guard.rs
+++ b/crates/coltsfootroute/src/once/once_guard.rs
@@ -1,4 +1,4 @@
-//! All claims of one guard.
+//! Guard that owns all open claims of a node.
 
 use std::collections::VecDeque;
 
@@ -20,23 +20,23 @@
     time::MonotonicTime,
 };
 
-/// The claims that one life of a node has begun and not settled.
+/// The claims that one incarnation of a node has begun and not settled.
 ///
-/// At most one of them is open for a key. A claim leaves only when it is settled in the table: its
-/// end is stored, it is released, or it provably never got there.
+/// At most one claim is open for a key. A claim is removed only when it is settled in the table: the
+/// result of its run is stored, it is released, or it provably was never written.
 #[derive(Debug, PartialEq, Eq)]
 pub struct OnceGuard {
     holder: ClaimHolder,
     settings: OnceSettings,
     open: IndexMap<ClaimId, OpenClaim>,
     by_key: IndexMap<OnceKey, ClaimId>,
-    /// Claims with an task to be sent, by the time from which it may be; in that order, as all
-    /// pauses are equally long. A claim whose task is under way isn't listed.
+    /// Claims with a pending task and the earliest time at which it may be sent, sorted by that time, as
+    /// all retry delays are equal. A claim whose task is being sent isn't listed.
     tasks: VecDeque<(MonotonicTime, ClaimId)>,
 }
 
 impl OnceGuard {
-    /// No claims yet.
+    /// Creates a guard without claims.
     pub fn new(holder: ClaimHolder, settings: OnceSettings) -> Self {
         Self {
             holder,
@@ -47,11 +47,11 @@
         }
     }
 
-    /// Begins to claim `call` under the fresh `claim_id`. To be called immediately before dispatch: after
-    /// admission, with a slot of the upstream at hand.
+    /// Begins to claim `call` under the new `claim_id`. To be called immediately before dispatch: after
+    /// admission, with a slot of the upstream acquired.
     ///
-    /// Each request that a step asks for must be followed by [`OnceGuard::on_reply`], or by
-    /// [`OnceGuard::cancel`] if its reply won't be waited for.
+    /// Each request that a step returns must be followed by [`OnceGuard::on_reply`], or by
+    /// [`OnceGuard::cancel`] if the caller doesn't wait for the reply.
     pub fn begin(&mut self, call: OnceCall, claim_id: ClaimId, wall: WallTime) -> ClaimStep {
         if let Some(result) = self.duplicate(&call, wall) {
             return ClaimStep::Done(result);
@@ -76,7 +76,7 @@
         ClaimStep::Send(request)
     }
 
-    /// Takes the table's reply for a claim being made; `None` if the claim was given up meanwhile.
+    /// Handles the table's reply for a claim in progress; `None` if the claim was cancelled in the meantime.
     pub fn on_reply(
         &mut self,
         claim_id: ClaimId,
@@ -101,8 +101,8 @@
         Some(step)
     }
 
-    /// Gives up a claim that is still being made, because its caller has gone or is refused. It will
-    /// never be dispatched.
+    /// Cancels a claim that is still in progress, because its caller has disconnected or is refused. The
+    /// request will never be dispatched.
     pub fn cancel(&mut self, claim_id: ClaimId, now: MonotonicTime) {
         let Some(open) = self.open.get(&claim_id) else {
             return;
@@ -113,11 +113,11 @@
         }
     }
 
-    /// Uses up a ticket: the last check before the request goes to the upstream.
+    /// Consumes a ticket: the last check before the request goes to the upstream.
     pub fn dispatch(&mut self, ticket: ClaimTicket, now: MonotonicTime) -> DispatchVerdict {
         let (claim_id, version) = (ticket.claim_id, ticket.version);
         let Some(open) = self.open.get_mut(&claim_id).filter(|open| open.is_ticketed()) else {
-            // The ticket of another guard: not for this one to run or release.
+            // The ticket belongs to another guard; this one must neither run nor release its claim.
             return DispatchVerdict::Expired;
         };
         let verdict = ticket.dispatch(now, self.settings.max_ticket_age);
@@ -130,15 +130,15 @@
         verdict
     }
 
-    /// Gives back a ticket whose request won't be dispatched.
+    /// Releases the claim of a ticket whose request won't be dispatched.
     pub fn abandon(&mut self, ticket: ClaimTicket, now: MonotonicTime) {
         if self.open.get(&ticket.claim_id).is_some_and(OpenClaim::is_ticketed) {
             self.release(ticket.claim_id, ClaimEffect::Stored(ticket.version), now);
         }
     }
 
-    /// The run ended with a complete answer. Its record is the next task; the answer to the caller may
-    /// wait for it up to [`OnceSettings::max_answer_wait`].
+    /// Records that the run ended with a complete answer. The next task stores its record; the answer to
+    /// the caller may wait for that up to [`OnceSettings::max_answer_wait`].
     pub fn finish(&mut self, run: ClaimRun, answer: RunAnswer, now: MonotonicTime) {
         let max_inline_bytes = self.settings.max_inline_bytes;
         self.store(&run, now, |open, version| {
@@ -147,14 +147,14 @@
         });
     }
 
-    /// The run failed, was cut off or gave an incomplete answer: what it did is unknown.
+    /// Records that the run failed, was cut off or gave an incomplete answer: its effect is unknown.
     pub fn interrupt(&mut self, run: ClaimRun, now: MonotonicTime) {
         self.store(&run, now, |open, version| {
             AnswerMachine::interrupted(open.claim, open.row_key.clone(), version)
         });
     }
 
-    /// The upstream provably never began the run: the claim is released, so that a repeat can run.
+    /// Releases the claim of a run that the upstream provably never began, so that a repeat can run.
     pub fn withdraw(&mut self, run: ClaimRun, now: MonotonicTime) {
         let stage = self.open.get(&run.claim_id).map(|open| &open.stage);
         if let Some(&ClaimStage::Running(version)) = stage {
@@ -162,10 +162,10 @@
         }
     }
 
-    /// The next request that may be sent at `now` for claims that nobody waits for.
+    /// Returns the next background request that may be sent at `now`.
     ///
-    /// Must be followed by [`OnceGuard::on_task_reply`], with an uncertain reply if there is none: until
-    /// then the claim has no further task.
+    /// Must be followed by [`OnceGuard::on_task_reply`], with an uncertain reply if the store doesn't
+    /// answer: until then the claim has no further task.
     pub fn next_task(&mut self, now: MonotonicTime) -> Option<StoreTask> {
         let (_, claim_id) = self.tasks.pop_front_if(|(due, _)| *due <= now)?;
         let request = match &self.open.get(&claim_id)?.stage {
@@ -177,12 +177,12 @@
         Some(StoreTask { claim_id, request })
     }
 
-    /// When the next task may be sent.
+    /// Returns the earliest time at which the next task may be sent; `None` if there is no task.
     pub fn next_task_at(&self) -> Option<MonotonicTime> {
         self.tasks.front().map(|(due, _)| *due)
     }
 
-    /// Takes the reply to an task; gives a request to be sent at once for the same claim, if any.
+    /// Handles the reply to a task. Returns the request to send immediately for the same claim, if any.
     pub fn on_task_reply(
         &mut self,
         claim_id: ClaimId,
@@ -212,44 +212,45 @@
         }
     }
 
-    /// What to tell a peer that asks about `claim_id`.
+    /// Returns the answer to a peer's query about `claim_id`.
     pub fn holder_answer(&self, claim_id: ClaimId) -> HolderAnswer {
         self.open.get(&claim_id).map_or(HolderAnswer::NotMine, OpenClaim::holder_answer)
     }
 
-    /// Whether the claim is settled in the table, or was never begun here.
+    /// Returns whether the claim is settled in the table or was never begun by this guard.
     pub fn is_settled(&self, claim_id: ClaimId) -> bool {
         !self.open.contains_key(&claim_id)
     }
 
-    /// Claims in any stage.
+    /// Returns the number of claims in any stage.
     pub fn open_claims(&self) -> usize {
         self.open.len()
     }
 
-    /// Claims that never led to a dispatch and still have to be released.
+    /// Returns the number of claims that never led to a dispatch and still have to be released.
     pub fn abandoned_claims(&self) -> usize {
         let is_releasing = |open: &&OpenClaim| matches!(open.stage, ClaimStage::Releasing(_));
         self.open.values().filter(is_releasing).count()
     }
 
-    /// Ends of runs that still have to be stored.
+    /// Returns the number of runs whose result still has to be stored.
     pub fn unstored_answers(&self) -> usize {
         let is_storing = |open: &&OpenClaim| matches!(open.stage, ClaimStage::Storing(_));
         self.open.values().filter(is_storing).count()
     }
 
-    /// Answers a request whose key is open here, without the store.
+    /// Answers a request whose key has an open claim at this guard, without querying the store.
     fn duplicate(&self, call: &OnceCall, wall: WallTime) -> Option<ClaimResult> {
         let open = self.open.get(self.by_key.get(&call.key)?)?;
         let is_same = open.claim.body_digest == call.body_digest;
         Some(match &open.stage {
-            // Nothing ran yet or will under that claim: nothing to conflict with either.
+            // Nothing has run or will run under that claim, so that no body can conflict with it.
             ClaimStage::Releasing(_) => ClaimResult::Refuse(ClaimRefusal::new(
                 RefusalReason::StoreUnavailable,
                 ClaimEffect::None,
             )),
-            // Its record may have been stored, and swept with its object, without an answer.
+            // The record may have been stored, and swept together with its object, while the
+            // acknowledgement was lost.
             ClaimStage::Storing(_) if wall >= open.claim.until => ClaimResult::Expired,
             _ if !is_same => ClaimResult::Conflict,
             ClaimStage::Storing(machine) => match machine.replayable() {
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Releases a claim that may stand in the table, or forgets one that provably doesn't.
+    /// Releases a claim that may be in the table, or drops one that provably isn't.
     fn release(&mut self, claim_id: ClaimId, effect: ClaimEffect, now: MonotonicTime) {
         let Some(open) = self.open.get_mut(&claim_id) else {
             return;
--- a/crates/coltsfootroute/src/once/once_key.rs
+++ b/crates/coltsfootroute/src/once/once_key.rs
@@ -1,4 +1,4 @@
-//! What a claim is about.
+//! Key of a claim.
 
 use sha2::{Digest, Sha256};
 
@@ -9,7 +9,7 @@
 };
 
 record_type! {
-    /// One request that must not run twice: the client's key within one operation.
+    /// Identifies a request that must run at most once: the client's key within one operation.
     #[derive(Hash)]
     pub struct OnceKey {
         /// Service of the operation.
@@ -22,11 +22,11 @@
 }
 
 impl OnceKey {
-    /// Common start of the rows of all claims.
+    /// Prefix of the row keys of all claims.
     pub const ROW_PREFIX: &str = "once/";
 
-    /// The row of the key's record. The client's key enters as a digest: of bounded length, and without
-    /// characters that mean something in a row key.
+    /// Returns the key of the record's row. It contains a digest of the client's key, which has a bounded
+    /// length and no characters with a meaning in row keys.
     pub fn row_key(&self) -> RowKey {
         let digest = Sha256::digest(self.client_key.as_str());
         let digest = hex_text::to_hex(&digest);
--- a/crates/coltsfootroute/src/once/once_settings.rs
+++ b/crates/coltsfootroute/src/once/once_settings.rs
@@ -5,17 +5,17 @@
 record_type! {
     /// Bounds of an [`OnceGuard`](super::OnceGuard).
     pub struct OnceSettings {
-        /// Claims in any stage at once: being made, running, being stored or being released; at least 1.
-        /// Further requests are refused before their claim is written, so that there is always room to
-        /// remember a claim until it is settled.
+        /// Largest number of claims in any stage (in progress, running, being stored or being released);
+        /// at least 1. Further requests are refused before their claim is written, so that every claim can
+        /// be kept in memory until it is settled.
         pub max_open_claims: usize,
         /// Largest answer kept in the record itself, in bytes; larger ones go to the object store.
         pub max_inline_bytes: usize,
-        /// Longest time from a claim to its dispatch.
+        /// Longest time between a claim and its dispatch.
         pub max_ticket_age: Duration,
-        /// Pause before a failed task to the store is tried again.
+        /// Delay before a failed store task is retried.
         pub task_retry_delay: Duration,
-        /// Longest time that an answer to the caller waits for its record.
+        /// Longest time for which the answer to the caller waits until its record is stored.
         pub max_answer_wait: Duration,
     }
 }
--- a/crates/coltsfootroute/src/once/open_claim.rs
+++ b/crates/coltsfootroute/src/once/open_claim.rs
@@ -15,19 +15,19 @@
     pub(super) stage: ClaimStage,
 }
 
-/// How far a claim is. It goes down this list only.
+/// Stage of a claim. A claim only moves to a stage further down in this list.
 #[derive(Debug, PartialEq, Eq)]
 #[expect(clippy::large_enum_variant, reason = "a boxed machine costs an allocation a call")]
 pub(super) enum ClaimStage {
     /// The claim is being written.
     Claiming(ClaimMachine),
-    /// Claimed at a version, not dispatched.
+    /// Claimed and not dispatched; the claim is stored at this version.
     Ticketed(RowVersion),
-    /// Dispatched; the claim stands at this version.
+    /// Dispatched; the claim is stored at this version.
     Running(RowVersion),
-    /// The run ended; its end is being stored.
+    /// The run has ended; its result is being stored.
     Storing(AnswerMachine),
-    /// Never dispatched and never will be; being released.
+    /// The request was not dispatched and never will be; the claim is being released.
     Releasing(ReleaseMachine),
 }
 
--- a/crates/coltsfootroute/src/once/record_sweeper.rs
+++ b/crates/coltsfootroute/src/once/record_sweeper.rs
@@ -1,18 +1,19 @@
-//! Turns expired records into small ones.
+//! Replaces expired records by tombstones.
 
 use super::{AnswerBody, ClaimRecord, OnceKey, StoredAnswer, SweepStep, WallTime};
 use crate::table::{RowCondition, RowWrite, StoredRow, TableReply, TableRequest};
 
 record_type! {
-    /// One pass over the records: those whose retention has ended become [`ClaimRecord::Expired`], one
-    /// conditional transaction a page. Two sweeps at once do no harm: one of them meets a conflict.
+    /// One pass over the records, which replaces those whose retention has ended by
+    /// [`ClaimRecord::Expired`] in one conditional transaction a page. Concurrent sweeps are safe: the
+    /// transaction of one of them fails with a conflict.
     ///
-    /// Nothing is deleted: as long as the small record stands, the key is refused.
+    /// Rows are not deleted: the key is refused as long as its tombstone exists.
     pub struct RecordSweeper {
         now: WallTime,
         page: usize,
         after: String,
-        /// Objects of the transaction under way.
+        /// Objects of the records in the pending transaction.
         pending_objects: Vec<String>,
         /// Objects that no record refers to any more.
         objects: Vec<String>,
@@ -21,7 +22,7 @@
 }
 
 impl RecordSweeper {
-    /// A pass by pages of `page` rows, at least 1, at the time `now`.
+    /// Creates a pass at the time `now`, by pages of `page` rows (at least 1).
     pub fn new(now: WallTime, page: usize) -> Self {
         Self {
             now,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The first request.
+    /// Returns the first request.
     pub fn start(&self) -> TableRequest {
         TableRequest::Scan {
             prefix: OnceKey::ROW_PREFIX.to_owned(),
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Takes the reply to the last request.
+    /// Handles the reply to the last request.
     pub fn on_reply(&mut self, reply: &TableReply) -> SweepStep {
         match reply {
             TableReply::Rows(rows) => self.on_page(rows),
@@ -50,7 +51,7 @@
                 self.objects.append(&mut self.pending_objects);
                 self.next_page()
             }
-            // Rows of this page have moved on: the next pass takes it again.
+            // Rows of this page have changed: the next pass processes them again.
             TableReply::Conflict(_) => {
                 self.pending_objects.clear();
                 self.next_page()
--- a/crates/coltsfootroute/src/once/release_machine.rs
+++ b/crates/coltsfootroute/src/once/release_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine that releases a claim.
+//! State machine that releases a claim.
 
 use super::{
     ClaimId, ClaimRecord,
@@ -8,28 +8,29 @@
 use crate::table::{RowKey, RowVersion, TableReply, TableRequest};
 
 record_type! {
-    /// Makes sure that a claim that never led to a dispatch neither stands in the table nor can still
-    /// appear there.
+    /// Ensures that a claim that never led to a dispatch neither is in the table nor can still appear
+    /// there.
     ///
-    /// It writes [`ClaimRecord::Free`] over the own claim, or over whatever the claim's late write waits
-    /// for; that write raises the version, so the late one can't take effect. The row isn't deleted:
-    /// its version would start again at 1, and a late write would reply_to its condition.
+    /// It overwrites the claim, or the row that a delayed write of the claim is conditional on, with
+    /// [`ClaimRecord::Free`]. That write increases the version, so that the delayed write can't take
+    /// effect. The row isn't deleted: its version would start again at 1, and the condition of a delayed
+    /// write could hold again.
     pub struct ReleaseMachine {
         claim_id: ClaimId,
         row_key: RowKey,
-        /// What the claim was written on; `None` for no row.
+        /// Version of the row that the claim was to overwrite; `None` if there was no row.
         base: Option<RowVersion>,
     }
 }
 
-/// What to do next for a release.
+/// Next step of a release.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReleaseStep {
-    /// Send this request and give its reply back.
+    /// Send this request and pass its reply to [`ReleaseMachine::on_reply`].
     Send(TableRequest),
-    /// The store didn't answer: start again later.
+    /// The store didn't answer; the release starts again after a delay.
     Retry,
-    /// The claim is gone for good.
+    /// The claim is neither in the table nor can it appear there any more.
     Released,
 }
 
@@ -38,7 +39,7 @@
         Self { claim_id, row_key, base }
     }
 
-    /// The release that `effect` asks for, if any.
+    /// Creates the release that `effect` requires; `None` if the claim wrote nothing.
     pub(super) fn for_effect(
         claim_id: ClaimId,
         row_key: RowKey,
@@ -54,12 +55,12 @@
         }
     }
 
-    /// The first request of a round.
+    /// Returns the first request of an attempt.
     pub fn start(&self) -> TableRequest {
         TableRequest::Read(self.row_key.clone())
     }
 
-    /// Takes the reply to the last request.
+    /// Handles the reply to the last request.
     pub fn on_reply(&self, reply: &TableReply) -> ReleaseStep {
         match reply {
             TableReply::Committed => ReleaseStep::Released,
@@ -81,7 +82,7 @@
             RowView::Present(version, ClaimRecord::Free) if Some(version) == self.base => {
                 self.write_free(Some(version))
             }
-            // The row has moved past the base: the claim's write can't take effect any more.
+            // The row is at a later version than the base: the claim's write can't take effect any more.
             RowView::Present(..) | RowView::Unreadable => ReleaseStep::Released,
         }
     }
--- a/crates/coltsfootroute/src/once/row_view.rs
+++ b/crates/coltsfootroute/src/once/row_view.rs
@@ -1,4 +1,4 @@
-//! The row of one key, as a reply shows it.
+//! Row of one key, as contained in a reply.
 
 use super::ClaimRecord;
 use crate::table::{RowCondition, RowKey, RowVersion, RowWrite, StoredRow, TableRequest};
@@ -7,17 +7,17 @@
     /// The row of a key.
     #[expect(clippy::large_enum_variant, reason = "short-lived, on the stack only")]
     pub(super) enum RowView {
-        /// There is no row.
+        /// The row doesn't exist.
         Absent,
-        /// The row, parsed.
+        /// Version and parsed record of the row.
         Present(RowVersion, ClaimRecord),
-        /// The row holds something that this version can't read.
+        /// The row holds a value that this version can't read.
         Unreadable,
     }
 }
 
 impl RowView {
-    /// The row `key` among `rows`.
+    /// Finds the row `key` in `rows` and parses it.
     pub(super) fn of(key: &RowKey, rows: &[StoredRow]) -> Self {
         let Some(row) = rows.iter().find(|row| row.key == *key) else {
             return Self::Absent;
@@ -29,12 +29,13 @@
     }
 }
 
-/// The version that a write gives to a row at `base`, where `None` stands for no row.
+/// Returns the version of a row after a write at version `base`, where `None` means no row.
 pub(super) fn version_after(base: Option<RowVersion>) -> RowVersion {
     RowVersion(base.map_or(1, |version| version.0 + 1))
 }
 
-/// Writes `record` to `key` if the row stands at `base`, where `None` stands for no row.
+/// Creates a request that writes `record` to `key` if the row is at version `base`, where `None` means
+/// no row.
 pub(super) fn write(key: &RowKey, base: Option<RowVersion>, record: &ClaimRecord) -> TableRequest {
     let condition = base.map_or(RowCondition::Absent, RowCondition::Version);
     let value = Some(record.to_value());
--- a/crates/coltsfootroute/src/once/run_answer.rs
+++ b/crates/coltsfootroute/src/once/run_answer.rs
@@ -1,4 +1,4 @@
-//! The answer of a run.
+//! Answer of a run.
 
 use super::AnswerHeader;
 
--- a/crates/coltsfootroute/src/once/store_task.rs
+++ b/crates/coltsfootroute/src/once/store_task.rs
@@ -1,13 +1,13 @@
-//! Work for the store that no caller waits for.
+//! Background requests to the store, which no caller waits for.
 
 use super::ClaimId;
 use crate::table::{ObjectReply, TableReply, TableRequest};
 
 record_type! {
-    /// A request to be sent for a claim; its reply goes to
+    /// A background request for a claim. Its reply goes to
     /// [`OnceGuard::on_task_reply`](super::OnceGuard::on_task_reply).
     pub struct StoreTask {
-        /// The claim.
+        /// Identifier of the claim.
         pub claim_id: ClaimId,
         /// The request.
         pub request: TaskRequest,
@@ -30,7 +30,7 @@
 }
 
 record_type! {
-    /// The reply to an [`TaskRequest`].
+    /// Reply to a [`TaskRequest`].
     pub enum TaskReply {
         /// From the table service.
         Table(TableReply),
--- a/crates/coltsfootroute/src/once/stored_answer.rs
+++ b/crates/coltsfootroute/src/once/stored_answer.rs
@@ -1,9 +1,9 @@
-//! An answer as stored.
+//! Answer as stored in a record.
 
 use super::{AnswerBody, AnswerHeader};
 
 record_type! {
-    /// The complete answer of a finished run, as repeats of the request get it.
+    /// Complete answer of a finished run, replayed to repeats of the request.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct StoredAnswer {
--- a/crates/coltsfootroute/src/once/sweep_step.rs
+++ b/crates/coltsfootroute/src/once/sweep_step.rs
@@ -1,14 +1,15 @@
-//! Step of a sweep.
+//! Next step of a sweep.
 
 use crate::table::TableRequest;
 
 record_type! {
-    /// What to do next for a sweep.
+    /// Next step of a sweep.
     pub enum SweepStep {
-        /// Send this request and give its reply back.
+        /// Send this request and pass its reply to
+        /// [`RecordSweeper::on_reply`](super::RecordSweeper::on_reply).
         Send(TableRequest),
-        /// Send nothing: the sweep has reached the end, or the store didn't answer. Delete the objects
-        /// named, which no record refers to any more.
+        /// The sweep has reached the last page, or the store didn't answer. Delete these objects, which no
+        /// record refers to any more.
         Done {
             /// Names of objects.
             objects: Vec<String>,
--- a/crates/coltsfootroute/src/quarantine.rs
+++ b/crates/coltsfootroute/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that end the upstreams that run them: what makes two requests the same, what is known of each, and which are
-//! not sent on any more.
+//! Quarantine of requests that crash the upstreams that run them: fingerprints that identify equal requests, the crashes
+//! in which each was involved, and the requests that are no longer forwarded.
 
 mod answered_requests;
 mod crash_id;
--- a/crates/coltsfootroute/src/quarantine/answered_requests.rs
+++ b/crates/coltsfootroute/src/quarantine/answered_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that the upstream beside the node has answered of late.
+//! Requests that the upstream beside the node has answered recently.
 
 use std::{hash::Hasher, time::Duration};
 
@@ -8,37 +8,37 @@
 use super::FingerprintParts;
 use crate::time::MonotonicTime;
 
-/// An answer is remembered for one to two of these. A read that many callers repeat is answered many times within it, even
-/// by an upstream that runs one in a hundred of them.
+/// Length of a generation; an answer is kept for one to two generations. A read that many callers repeat is answered many
+/// times within a generation, even by an upstream that runs one in a hundred of them.
 const GENERATION_TIME: Duration = Duration::from_secs(15);
-/// Requests remembered of each generation: 200 KB, and at 500 calls a second all of them.
+/// Largest number of requests kept in a generation: 200 KB, and enough for all requests at 500 calls a second.
 const MAX_GENERATION_REQUESTS: usize = 8_192;
-/// Longest body that is looked at. Reads that many callers repeat have short ones, and a long one costs as much time here
-/// as to send.
+/// Longest body that is hashed, in bytes. Reads that many callers repeat have short bodies, and hashing a long one takes
+/// as much time as sending it.
 const MAX_HASHED_BODY_BYTES: usize = 16 * 1024;
 
-/// Requests that the upstream beside the node has answered of late: what ended it was something else.
+/// Requests that the upstream beside the node has answered recently, and which therefore did not cause its crash.
 ///
-/// Without it a read that many callers repeat is under way at each of three ends that it has no part in, started three
-/// upstreams of a rack end within less than the time of one run: in a minute of the load of the tests in
-/// `quarantine/innocent_reads.rs` 2,217 of 2,520 of its callers are turned away, and none with it.
+/// Without this record, a read that many callers repeat is in flight at each of three crashes that it did not cause, since
+/// three upstreams of a rack crash within less than the time of one run: in a minute of the load of the tests in
+/// `quarantine/innocent_reads.rs`, 2,217 of 2,520 of its callers are refused, and none are with this record.
 #[derive(Clone, Debug)]
 pub struct AnsweredRequests {
-    /// Drawn by each node, so that nobody can make another's request look answered.
+    /// Random for each node, so that no caller can construct a request that makes another caller's request look answered.
     seed: u64,
     current: IndexSet<u64>,
     previous: IndexSet<u64>,
-    /// When `current` began.
+    /// Time at which the generation `current` began.
     started: MonotonicTime,
 }
 
 impl AnsweredRequests {
-    /// Nothing answered yet.
+    /// Creates a record without answered requests.
     pub fn new(seed: u64, now: MonotonicTime) -> Self {
         Self { seed, current: IndexSet::new(), previous: IndexSet::new(), started: now }
     }
 
-    /// The request has been answered.
+    /// Records that the request has been answered.
     pub fn record(&mut self, now: MonotonicTime, parts: &FingerprintParts<'_>) {
         self.rotate(now);
         if let Some(hash) = self.hash(parts) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether the request has been answered of late.
+    /// Returns whether the request was answered in the current or the previous generation.
     pub fn contains(&mut self, now: MonotonicTime, parts: &FingerprintParts<'_>) -> bool {
         self.rotate(now);
         let hash = self.hash(parts);
--- a/crates/coltsfootroute/src/quarantine/crash_report.rs
+++ b/crates/coltsfootroute/src/quarantine/crash_report.rs
@@ -1,27 +1,27 @@
-//! One end of an upstream, as the guard beside it tells of it.
+//! Report of a guard on one crash of its upstream.
 
 use std::time::Duration;
 
 use super::{CrashId, RequestFingerprint};
 
-/// Suspects named for one end at most: 2 KB. An upstream with more slots ends with more calls under way, but an end with so
-/// many suspects says little of each.
+/// Largest number of suspects named for one crash: 2 KB. An upstream with more slots can crash with more calls in flight,
+/// but a crash with that many suspects is weak evidence against each of them.
 pub const MAX_SUSPECTS: usize = 128;
 
 record_type! {
-    /// One end of an upstream, and which requests were under way there.
+    /// One crash of an upstream, and the requests that were in flight there.
     pub struct CrashReport {
-        /// The end.
+        /// Identifier of the crash.
         pub crash: CrashId,
-        /// How long ago it was: nodes share no clock.
+        /// Time since the crash. An age rather than a time, since nodes share no clock.
         pub age: Duration,
-        /// What was under way and had not been answered there of late. Invariant: at most [`MAX_SUSPECTS`].
+        /// Requests that were in flight and had not been answered there recently. Invariant: at most [`MAX_SUSPECTS`].
         pub suspects: Vec<RequestFingerprint>,
     }
 }
 
 impl CrashReport {
-    /// An end with nothing under way.
+    /// Creates a report of a crash without suspects.
     pub fn new(crash: CrashId, age: Duration) -> Self {
         Self { crash, age, suspects: Vec::new() }
     }
--- a/crates/coltsfootroute/src/quarantine/quarantine_case.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_case.rs
@@ -1,4 +1,4 @@
-//! What is held of one request.
+//! Case of one quarantined or released request.
 
 use std::time::Duration;
 
@@ -6,43 +6,43 @@
 use crate::time::MonotonicTime;
 
 value_type! {
-    /// Counts the changes of a case: odd while the request is held back, even once it has been let go. Of two terms of one
-    /// case the higher holds, whoever tells it and in whatever order, so that nodes that learn of both agree.
+    /// Number of changes of a case: odd while the request is quarantined, even once it has been released. Of two terms of one
+    /// case the higher one applies, whichever node sends it and in whatever order, so that nodes that receive both agree.
     #[derive(Default, serde::Serialize, serde::Deserialize)]
     #[serde(transparent)]
     pub struct CaseTerm(pub u32);
 }
 
 impl CaseTerm {
-    /// Whether the request is held back.
+    /// Returns whether the request is quarantined.
     pub fn is_held(self) -> bool {
         self.0 % 2 == 1
     }
 
-    /// The term after this one.
+    /// Returns the next term.
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 }
 
 record_type! {
-    /// A case as nodes tell each other.
+    /// A case as exchanged between nodes.
     pub struct CaseNote {
         /// The request.
         pub fingerprint: RequestFingerprint,
-        /// The case's last change.
+        /// Term that began with the case's last change.
         pub term: CaseTerm,
-        /// How long ago it was.
+        /// Time since that change.
         pub age: Duration,
     }
 }
 
-/// A case as the register keeps it.
+/// A case as stored in the register.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuarantineCase {
     pub(super) term: CaseTerm,
-    /// When it changed last.
+    /// Time of the last change.
     pub(super) since: MonotonicTime,
-    /// From when on a trial may be asked for; `None` once it has been spent.
+    /// Time from which a trial may be claimed; `None` once the trial has been used.
     pub(super) trial_at: Option<MonotonicTime>,
 }
--- a/crates/coltsfootroute/src/quarantine/quarantine_register.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_register.rs
@@ -1,4 +1,4 @@
-//! What a node knows of requests that end the upstreams that run them.
+//! Register of requests that crash the upstreams that run them.
 
 use std::{hash::Hasher, time::Duration};
 
@@ -12,74 +12,79 @@
 };
 use crate::time::MonotonicTime;
 
-/// Ends of upstreams at which a request has to be under way until it is held back. Two happen to what was cut off at one
-/// upstream and tried again at the next; the users bear three.
+/// Number of crashes during which a request has to be in flight before it is quarantined. A request that was cut off at one
+/// upstream and retried at the next can be in flight at two; the users accept three.
 const QUARANTINE_CRASHES: usize = 3;
-/// How long an end of an upstream speaks against what was under way there. Callers come back within minutes; what comes
-/// once an hour costs an upstream an hour.
+/// Time for which a crash counts against the requests that were in flight. Callers retry within minutes; a request that
+/// comes once an hour costs one upstream an hour.
 const CRASH_RETENTION: Duration = Duration::from_secs(600);
-/// Ends of upstreams kept: 260 KB with all their suspects. More within [`CRASH_RETENTION`] have another cause.
+/// Largest number of crashes kept: 260 KB with all their suspects. More crashes within [`CRASH_RETENTION`] have another
+/// cause.
 const MAX_CRASHES: usize = 128;
-/// An answer clears a request of the ends before it, and of those up to so long after it: what a working upstream has just
-/// run does not end the next. A request that turns bad, by a release or by what is stored, is held back that much later.
+/// An answer clears a request of all crashes before it and of those within this time after it: a request that an upstream
+/// has just answered does not crash the next one. A request that becomes fatal, through a new release of the service or
+/// through stored data, is quarantined later by this time.
 const ANSWER_VALIDITY: Duration = Duration::from_secs(30);
-/// Answers of suspects kept.
+/// Largest number of suspects whose last answer is kept.
 const MAX_ANSWERS: usize = 4_096;
-/// How long a case stands, held or let go. After a day its service has been released anew, or the request is gone.
+/// Time for which a case is kept, quarantined or released. After a day its service has had a new release, or the request
+/// is no longer sent.
 const CASE_RETENTION: Duration = Duration::from_secs(24 * 3_600);
-/// Cases kept, the newest: 100 KB. Each has cost somebody three upstreams.
+/// Largest number of cases kept; the oldest are evicted: 100 KB. Each case stands for three crashed upstreams.
 const MAX_CASES: usize = 1_024;
-/// When one run of a request that is held back may show that it is innocent. It costs an upstream if it is not, so that
-/// there is one in all; callers of one that is have been turned away for a minute.
+/// Time after which a quarantined request may run once, as a trial of whether it is harmless. The trial costs an upstream
+/// if the request is fatal, so that there is one trial in all nodes together; callers of a harmless request are refused
+/// for a minute.
 const TRIAL_DELAY: Duration = Duration::from_secs(60);
-/// Pause until the store is asked again for a trial that it could not grant.
+/// Delay before a claim for a trial that the store did not answer is retried.
 const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(10);
-/// When the caller of a request that is held back for long may ask again.
+/// Retry hint for callers of a request whose trial has been used.
 const HELD_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 value_type! {
-    /// A case that changed here.
+    /// Change of a case in this register.
     pub struct QuarantineChange {
         /// The request.
         pub fingerprint: RequestFingerprint,
-        /// The case now.
+        /// New term of the case.
         pub term: CaseTerm,
-        /// Ends of upstreams that spoke against the request, 0 where another node told of the case.
+        /// Number of crashes counted against the request; 0 if another node reported the case.
         pub crashes: u32,
     }
 }
 
-/// What a node knows of requests that end the upstreams that run them.
+/// Register of requests that crash the upstreams that run them.
 ///
-/// Guards report each end of an upstream with all that was under way there. What ended it stands in each report that it
-/// caused; what ended with it does not, or is answered elsewhere, which clears it. A request at three ends without an answer
-/// is held back by every node that hears of it, until an answer, a trial or an operator lets it go, or a day has passed.
+/// Guards report each crash of an upstream with all requests that were in flight there. The request that causes crashes
+/// appears in each of their reports; a request that was merely in flight does not, or is answered elsewhere, which clears
+/// it. A request that was in flight at three crashes without an answer is quarantined by every node that receives the
+/// reports, until an answer, a trial or an operator releases it, or a day has passed.
 ///
-/// Nodes merge each other's update: reports are told apart by their end, and a case's higher term holds.
+/// Nodes merge each other's updates: reports are identified by their crash, and the higher term of a case applies.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineRegister {
-    /// When each known end was. Invariant: at most [`MAX_CRASHES`], and no end is forgotten before its suspects.
+    /// Time of each known crash. Invariant: at most [`MAX_CRASHES`], and no crash is removed before its suspects.
     crashes: IndexMap<CrashId, MonotonicTime>,
-    /// What speaks against whom. Invariant: names only ends in `crashes`.
+    /// Crashes counted against each suspected request. Invariant: refers only to crashes in `crashes`.
     suspects: IndexMap<RequestFingerprint, SuspectRecord>,
-    /// When suspects were answered last.
+    /// Time of the last answer to each suspected request.
     answers: IndexMap<RequestFingerprint, MonotonicTime>,
     cases: IndexMap<RequestFingerprint, QuarantineCase>,
     changes: Vec<QuarantineChange>,
 }
 
 impl QuarantineRegister {
-    /// Whether something may be held back.
+    /// Returns whether any request may be quarantined.
     pub fn has_cases(&self) -> bool {
         !self.cases.is_empty()
     }
 
-    /// Whether an answer may clear something.
+    /// Returns whether an answer may clear or release any request.
     pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty() || self.has_cases()
     }
 
-    /// Whether a request may be sent on.
+    /// Returns whether a request may be forwarded.
     pub fn verdict(
         &self,
         now: MonotonicTime,
@@ -96,12 +101,12 @@
         }
     }
 
-    /// The term of a request's case; that of no case if there is none.
+    /// Returns the term of a request's case; the default term if there is no case.
     pub fn term(&self, fingerprint: RequestFingerprint) -> CaseTerm {
         self.cases.get(&fingerprint).map_or(CaseTerm::default(), |case| case.term)
     }
 
-    /// Takes note of what became of a claim to make a request's trial.
+    /// Records the result of a claim for the trial of a request.
     pub fn record_trial(
         &mut self,
         now: MonotonicTime,
@@ -113,7 +118,8 @@
         }
     }
 
-    /// An upstream has answered the request; returns what is to be told if that clears it of something.
+    /// Records that an upstream has answered the request. Returns the note to send to other nodes if the answer clears the
+    /// request of a crash or releases it.
     pub fn record_answer(
         &mut self,
         now: MonotonicTime,
@@ -125,7 +131,7 @@
         (is_relevant && self.merge_answer(now, &note)).then_some(note)
     }
 
-    /// An operator lets a request go; returns whether it was held back.
+    /// Releases a request on behalf of an operator. Returns whether it was quarantined.
     pub fn release(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) -> bool {
         let term = self.term(fingerprint);
         if !term.is_held() {
@@ -136,7 +142,7 @@
         true
     }
 
-    /// Takes in what another node tells, or this one's guard; returns what of it was new.
+    /// Merges an update of another node or of this node's guard. Returns the part that was new.
     pub fn merge(&mut self, now: MonotonicTime, update: QuarantineUpdate) -> QuarantineUpdate {
         self.prune(now);
         let QuarantineUpdate { mut crashes, mut answers, mut cases } = update;
@@ -146,12 +152,12 @@
         QuarantineUpdate { crashes, answers, cases }
     }
 
-    /// Cases that changed since this was last asked.
+    /// Removes and returns the changes of cases since the last call.
     pub fn drain_changes(&mut self) -> Vec<QuarantineChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// The same at two nodes that hold the same cases; 0 without any.
+    /// Returns a digest of all cases, which is equal at two nodes with the same cases; 0 without cases.
     pub fn digest(&self) -> u64 {
         self.cases
             .iter()
@@ -159,7 +165,7 @@
             .fold(0, |a, b| a ^ b)
     }
 
-    /// All that is known, for a node that knows less.
+    /// Returns an update with everything in the register, for a node that lacks some of it.
     pub fn all(&self, now: MonotonicTime) -> QuarantineUpdate {
         let mut crashes: IndexMap<_, _> = self
             .crashes
@@ -185,7 +191,7 @@
         }
     }
 
-    /// All cases, those that were let go too.
+    /// Returns all cases, including those of released requests.
     pub fn cases(&self, now: MonotonicTime) -> Vec<CaseNote> {
         let cases = self.cases.iter().map(|(fingerprint, case)| CaseNote {
             fingerprint: *fingerprint,
@@ -213,7 +219,7 @@
         is_new
     }
 
-    /// Adds an end to what speaks against a request; returns whether it does, and was not known.
+    /// Counts a crash against a request. Returns whether it counts and was not known before.
     fn suspect(
         &mut self,
         now: MonotonicTime,
@@ -249,7 +255,7 @@
             return false;
         }
         let known = self.answers.get(&note.fingerprint).copied();
-        // Clocks of two nodes differ by the time that the update took.
+        // The times that two nodes compute for one answer differ by the delay of the update.
         if known.is_some_and(|known| at <= known + Duration::from_secs(1)) {
             return false;
         }
--- a/crates/coltsfootroute/src/quarantine/quarantine_row.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_row.rs
@@ -1,30 +1,31 @@
-//! Rows by which cases outlast the nodes that know of them.
+//! Table rows that keep cases beyond the lifetime of the nodes that know them.
 
 use std::time::Duration;
 
 use super::{CaseNote, CaseTerm, RequestFingerprint};
 use crate::table::{RowCondition, RowKey, RowWrite, StoredRow, TableReply, TableRequest};
 
-/// Common start of the keys of cases.
+/// Prefix of the row keys of cases.
 const CASE_PREFIX: &str = "quarantine/";
-/// Common start of the keys of trials.
+/// Prefix of the row keys of trials.
 const TRIAL_PREFIX: &str = "quarantine-trial/";
-/// Cases read by a node that starts: as many as a platform's table service gives in one answer.
+/// Largest number of cases that a starting node reads: as many rows as a platform's table service returns in one answer.
 const PAGE_ROWS: usize = 500;
 
 record_type! {
-    /// The row of one case, `quarantine/{fingerprint}`.
+    /// Row of one case, `quarantine/{fingerprint}`.
     #[derive(serde::Serialize, serde::Deserialize)]
     pub struct QuarantineRow {
-        /// The case's last change.
+        /// Term that began with the case's last change.
         pub term: CaseTerm,
-        /// When it was, by the writer's wall clock, in milliseconds since the Unix epoch.
+        /// Time of that change by the writer's wall clock, in milliseconds since the Unix epoch.
         pub changed_ms: u64,
     }
 }
 
 impl QuarantineRow {
-    /// Writes the row. The first change of a case is written once, whoever comes first; a later one over it.
+    /// Creates a request that writes the row. The first change of a case is written only if the row is absent, so that only
+    /// the first of several nodes writes it; later changes overwrite the row.
     pub fn write(&self, fingerprint: RequestFingerprint) -> TableRequest {
         let is_first = self.term == CaseTerm::default().next();
         TableRequest::Transact(vec![RowWrite {
@@ -35,13 +36,13 @@
         }])
     }
 
-    /// Asks for the rows of all cases.
+    /// Creates a request for the rows of all cases.
     pub fn scan() -> TableRequest {
         let (prefix, after) = (CASE_PREFIX.to_owned(), String::new());
         TableRequest::Scan { prefix, after, limit: PAGE_ROWS }
     }
 
-    /// The case of a row, as of the wall time `wall_ms`; `None` if it can't be read.
+    /// Parses the case in a row, with its age at the wall time `wall_ms`; `None` if the row can't be parsed.
     pub fn read(row: &StoredRow, wall_ms: u64) -> Option<CaseNote> {
         let fingerprint = row.key.as_str().strip_prefix(CASE_PREFIX)?.parse().ok()?;
         let read: Self = serde_json::from_str(&row.value).ok()?;
@@ -51,30 +52,30 @@
 }
 
 value_type! {
-    /// Whether this node may make the trial of a case.
+    /// Result of a claim for the trial of a case.
     pub enum TrialClaim {
-        /// Yes, and no other.
+        /// This node, and no other, may run the trial.
         Granted,
-        /// Another has made it, or may have.
+        /// Another node has claimed the trial or may have.
         Used,
-        /// The store can't say; it may be asked again.
+        /// The store is unavailable; the claim may be retried.
         Unavailable,
     }
 }
 
 impl TrialClaim {
-    /// What the store's reply to [`trial_claim`] says.
+    /// Interprets the store's reply to [`trial_claim`].
     pub fn of(reply: &TableReply) -> Self {
         match reply {
             TableReply::Committed => Self::Granted,
-            // A claim that may stand can't be told from another node's.
+            // A claim that may have taken effect can't be distinguished from another node's.
             TableReply::Conflict(_) | TableReply::Uncertain | TableReply::Rows(_) => Self::Used,
             TableReply::Unavailable => Self::Unavailable,
         }
     }
 }
 
-/// Claims the one trial of a case: a conditional write, so that of all nodes one makes it.
+/// Creates a request that claims the only trial of a case, by a conditional write so that a single node runs it.
 pub fn trial_claim(fingerprint: RequestFingerprint, term: CaseTerm) -> TableRequest {
     TableRequest::Transact(vec![RowWrite {
         key: RowKey::new(&format!("{TRIAL_PREFIX}{fingerprint}-{}", term.0)),
--- a/crates/coltsfootroute/src/quarantine/quarantine_update.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_update.rs
@@ -1,39 +1,39 @@
-//! What nodes tell each other of ended upstreams.
+//! Updates on crashed upstreams, exchanged between nodes.
 
 use std::time::Duration;
 
 use super::{CaseNote, CrashReport, RequestFingerprint};
 
 record_type! {
-    /// An upstream has answered a request that was suspected.
+    /// Notes that an upstream has answered a suspected request.
     pub struct AnswerNote {
         /// The request.
         pub fingerprint: RequestFingerprint,
-        /// How long ago it was.
+        /// Time since the answer.
         pub age: Duration,
     }
 }
 
 record_type! {
-    /// What nodes tell each other of ended upstreams. Merging the same update twice changes nothing.
+    /// Update on crashed upstreams, exchanged between nodes. Merging an update is idempotent.
     #[derive(Default)]
     pub struct QuarantineUpdate {
-        /// Ends of upstreams.
+        /// Crashes of upstreams.
         pub crashes: Vec<CrashReport>,
         /// Suspected requests that were answered.
         pub answers: Vec<AnswerNote>,
-        /// Requests that are held back, or have been.
+        /// Requests that are or were quarantined.
         pub cases: Vec<CaseNote>,
     }
 }
 
 impl QuarantineUpdate {
-    /// Whether there is nothing to tell.
+    /// Returns whether the update contains nothing.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.answers.is_empty() && self.cases.is_empty()
     }
 
-    /// Payload between nodes, in bytes.
+    /// Returns the size of the payload between nodes, in bytes.
     pub fn wire_bytes(&self) -> usize {
         const CRASH: usize = 24;
         const SUSPECT: usize = 16;
--- a/crates/coltsfootroute/src/quarantine/quarantine_verdict.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_verdict.rs
@@ -1,15 +1,15 @@
-//! Whether a request may be sent on.
+//! Decision whether a request may be forwarded.
 
 use std::time::Duration;
 
 value_type! {
-    /// Whether a request may be sent on.
+    /// Decision whether a request may be forwarded.
     pub enum QuarantineVerdict {
-        /// Nothing is held against it.
+        /// The request is not quarantined.
         Free,
-        /// It has ended too many upstreams. Its caller may ask again after this time.
+        /// The request was in flight at too many crashes. Its caller may retry after this time.
         Held(Duration),
-        /// The same, but one run may show that it does not end its upstream, if nobody else has made it.
+        /// The request is quarantined, but may run once as a trial if no other node has claimed that.
         TrialDue,
     }
 }
--- a/crates/coltsfootroute/src/quarantine/request_fingerprint.rs
+++ b/crates/coltsfootroute/src/quarantine/request_fingerprint.rs
@@ -1,25 +1,26 @@
-//! What makes two requests the same, for the whole fleet.
+//! Fingerprint by which all nodes recognize equal requests.
 
 use sha2::{Digest, Sha256};
 
-/// What a request asks for, and on whose behalf. Identities, deadlines and the host where it entered are left out: they
-/// differ between the attempts of a client.
+/// Parts of a request that its fingerprint covers: its content and the credential of its caller. Request identifiers,
+/// deadlines and the host where it entered are left out, since they differ between the attempts of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintParts<'a> {
-    /// Method, or what stands for it.
+    /// Method, or its equivalent in protocols without methods.
     pub method: &'a [u8],
-    /// Host that the request is for; empty where requests name none.
+    /// Host that the request is addressed to; empty if it names none.
     pub host: &'a [u8],
     /// Path and query.
     pub target: &'a [u8],
-    /// Credential of the caller; empty if it has none. Callers who share one count as one.
+    /// Credential of the caller; empty if it has none. Callers that share a credential count as one.
     pub credential: &'a [u8],
     /// Body.
     pub body: &'a [u8],
 }
 
 impl FingerprintParts<'_> {
-    /// Gives all parts to a hash, each after its length, or else bytes could pass from one part to the next.
+    /// Feeds all parts to a hash, each preceded by its length: without it, requests whose bytes are divided differently
+    /// between two parts would have the same hash.
     pub(super) fn feed(&self, mut update: impl FnMut(&[u8])) {
         for part in [self.method, self.host, self.target, self.credential, self.body] {
             update(&(part.len() as u64).to_le_bytes());
@@ -29,18 +30,18 @@
 }
 
 value_type! {
-    /// The first 128 bits of SHA-256 over a request's [parts](FingerprintParts), the same at every hop and node. Shown as
+    /// The first 128 bits of SHA-256 over a request's [parts](FingerprintParts), equal at every hop and node. Displayed as
     /// 32 hexadecimal digits.
     ///
-    /// Nobody can find a second request with the fingerprint of a given one, so that no caller's request is taken for
-    /// another's; a pair with a common fingerprint that somebody constructs concerns its maker alone.
+    /// It is infeasible to find a second request with the fingerprint of a given one, so that no caller's request is mistaken
+    /// for another's; a pair of requests constructed to share a fingerprint affects only the caller that constructed it.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(try_from = "String", into = "String")]
     pub struct RequestFingerprint(pub u128);
 }
 
 impl RequestFingerprint {
-    /// The fingerprint of a request. A hash over the whole body, so that it is not taken of calls while nothing is
+    /// Computes the fingerprint of a request. It hashes the whole body and is therefore not computed while no request is
     /// suspected.
     pub fn of(parts: &FingerprintParts<'_>) -> Self {
         let mut hash = Sha256::new();
--- a/crates/coltsfootroute/src/quarantine/suspect_record.rs
+++ b/crates/coltsfootroute/src/quarantine/suspect_record.rs
@@ -1,16 +1,16 @@
-//! What speaks against one request.
+//! Crashes counted against one request.
 
 use super::CrashId;
 
-/// What speaks against one request.
+/// Crashes counted against one request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SuspectRecord {
-    /// Ends of upstreams at which it was under way, each once.
+    /// Crashes during which the request was in flight, each listed once.
     pub(super) crashes: Vec<CrashId>,
 }
 
 impl SuspectRecord {
-    /// Adds an end; returns how many there are.
+    /// Adds a crash unless it is already listed. Returns the number of crashes.
     pub(super) fn add(&mut self, crash: CrashId) -> usize {
         if !self.crashes.contains(&crash) {
             self.crashes.push(crash);
