--- a/crates/coltsfootroute/src/freshness.rs
+++ b/crates/coltsfootroute/src/freshness.rs
@@ -1,13 +1,14 @@
-//! How old a node's knowledge of the newest configuration may be.
+//! Bounds on the age of a node's knowledge of the newest configuration.
 //!
-//! A change must be in force some seconds after it was accepted, and a node that waits to be told of changes can't tell
-//! silence_connections from rest: connections go silent for good, and a store may have swallowed a question. So no question stays open
-//! for long ([`FeedTimeout`]), nor where others have heard more ([`FeedMonitor`]).
+//! A change must be in force some seconds after it was accepted, and a node that long-polls for changes can't
+//! distinguish a broken poll from a time without changes: connections can fail silently, and a store may have dropped a
+//! poll. So every poll has a short timeout ([`FeedTimeout`]), and ends early if other nodes have received a newer
+//! revision ([`FeedMonitor`]).
 //!
-//! A key that was taken away must run nothing some seconds later, also at a node that hears of no change any more. So a
-//! node needs proof that its configuration was the newest at some moment, and takes no keyed work once that is too long
-//! ago. Proofs are stated in the time of the store's clock, which means the same at every node and however long a message
-//! was held up on its way.
+//! A revoked key must run no request some seconds later, even at a node that receives no changes any more. So a node
+//! needs proof that its configuration was the newest at some time, and accepts no requests with keys once that time is
+//! too long ago. Proofs contain the time of the store's clock, which has the same meaning at every node, however long a
+//! message was delayed.
 
 mod config_freshness;
 mod feed_monitor;
--- a/crates/coltsfootroute/src/freshness/feed_monitor.rs
+++ b/crates/coltsfootroute/src/freshness/feed_monitor.rs
@@ -1,29 +1,31 @@
-//! Whether an open question to the store still hears of changes.
+//! Detection of polls that no longer receive configuration changes.
 
 use std::time::Duration;
 
 use crate::{revision::Revision, time::MonotonicTime};
 
-/// How much later than others an open question may hear of a change: a store that is slow or a pause between two polls
-/// explains less.
+/// Longest time by which an open poll may receive a change later than other nodes; a slow store or the pause between
+/// two polls causes a shorter one.
 const MAX_LAG: Duration = Duration::from_secs(1);
 
-/// Whether an open question to the store still hears of changes: not if others have long known_revision of one.
+/// Detects whether an open poll to the store is stale: other nodes have had a change for `MAX_LAG` that the poll has
+/// not received.
 #[derive(Clone, Copy, Debug)]
 pub struct FeedMonitor {
-    /// Newest revision that the store had told of when the question was asked.
+    /// Newest revision that the store had reported when the poll began.
     known_revision: Revision,
-    /// Since when a newer one is in force that the question has not told of.
+    /// Time at which a newer revision than `known_revision` was first seen in force; `None` before that.
     stale_since: Option<MonotonicTime>,
 }
 
 impl FeedMonitor {
-    /// A question that is just being asked; `known_revision` is the newest revision that the store has told of.
+    /// Creates a monitor for a new poll; `known_revision` is the newest revision that the store has reported.
     pub fn new(known_revision: Revision) -> Self {
         Self { known_revision, stale_since: None }
     }
 
-    /// Whether the question is deaf at `now`, where `in_force` is in force. Look some times a second.
+    /// Returns whether the poll is stale at `now`, with the revision `in_force` in force. To be called a few times a
+    /// second.
     pub fn is_stale(&mut self, now: MonotonicTime, in_force: Revision) -> bool {
         if in_force <= self.known_revision {
             return false;
--- a/crates/coltsfootroute/src/freshness/feed_timeout.rs
+++ b/crates/coltsfootroute/src/freshness/feed_timeout.rs
@@ -1,49 +1,51 @@
-//! How long the store may hold a question for changes.
+//! Timeout of long polls for configuration changes.
 
 use std::{ops::RangeInclusive, time::Duration};
 
 use rand::{Rng, RngExt};
 
-/// Time between two ends of polls in the fleet: each end shows whether the store still answers, and the node that asks
-/// anew hears of changes again.
+/// Time between the ends of two polls among all nodes: each end shows whether the store still answers, and the next
+/// poll of that node receives changes again.
 const RENEWAL_PERIOD: Duration = Duration::from_millis(500);
-/// Longest hold where few nodes are known.
+/// Longest timeout if few nodes are known.
 const MIN_LONGEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest hold at all: the store holds no question longer.
+/// Longest timeout with any number of nodes: the store keeps no poll open longer.
 const MAX_LONGEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Shortest hold.
+/// Shortest timeout.
 const MIN_TIMEOUT: Duration = Duration::from_millis(200);
-/// Part of the longest hold of a question that follows one without news.
+/// Fraction of the longest timeout for a poll that follows one without changes.
 const STEADY_FRACTION: RangeInclusive<f64> = 0.9..=1.0;
 
-/// How long the store may hold a question for changes; each question costs a call.
+/// Timeout of long polls to the store for configuration changes; each poll costs a call.
 ///
-/// The polls of all nodes end spread over time, at a rate that does not grow with the fleet until the longest hold is
-/// reached. So a silence_connections towards all is noticed soon by some, who tell the others what has changed.
+/// The ends of all nodes' polls are spread over time, at a rate that does not grow with the number of nodes until the
+/// longest timeout is reached. So if the store stops answering all open polls, some nodes notice soon and inform the
+/// others of what has changed.
 #[derive(Clone, Copy, Debug)]
 pub struct FeedTimeout {
-    /// The question before was answered with a change, or not at all: all nodes may be asking at this moment.
+    /// Whether the previous poll was answered with a change or not at all, so that all nodes may be starting a poll
+    /// now.
     is_after_change: bool,
 }
 
 impl FeedTimeout {
-    /// Before the first question.
+    /// Creates the state before the first poll.
     pub fn new() -> Self {
         Self { is_after_change: true }
     }
 
-    /// The question has ended, without news if the store has answered that nothing has changed.
+    /// Records the end of a poll. `has_change` is false only if the store has answered that nothing has changed.
     pub fn record_end(&mut self, has_change: bool) {
         self.is_after_change = has_change;
     }
 
-    /// How long the next question may be held, where `nodes` nodes are known to ask.
+    /// Draws the timeout of the next poll, with `nodes` nodes known to poll.
     pub fn draw(&self, nodes: usize, rng: &mut impl Rng) -> Duration {
         let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
         let longest =
             RENEWAL_PERIOD.saturating_mul(nodes).clamp(MIN_LONGEST_TIMEOUT, MAX_LONGEST_TIMEOUT);
         match self.is_after_change {
-            // Ends at once at all nodes would be followed by a long time without any.
+            // If all nodes' polls ended at the same time, none would end for a long time after.
             true => rng.random_range(MIN_TIMEOUT..=longest),
             false => longest.mul_f64(rng.random_range(STEADY_FRACTION)),
         }
--- a/crates/coltsfootroute/src/freshness/revision_proof.rs
+++ b/crates/coltsfootroute/src/freshness/revision_proof.rs
@@ -1,14 +1,14 @@
-//! What an answer of the store proves of the newest revision.
+//! Proof that a revision was the newest at some time.
 
 use super::StoreTime;
 use crate::revision::Revision;
 
 value_type! {
-    /// When the store's clock showed `at`, no revision was newer than `revision`.
+    /// Proof that no revision was newer than `revision` when the store's clock showed `at`.
     pub struct RevisionProof {
         /// The revision.
         pub revision: Revision,
-        /// When it was the newest, or already overtaken by none.
+        /// Time of the store's clock at which no newer revision existed.
         pub at: StoreTime,
     }
 }
--- a/crates/coltsfootroute/src/freshness/store_clock.rs
+++ b/crates/coltsfootroute/src/freshness/store_clock.rs
@@ -1,32 +1,32 @@
-//! Where the times of the store's clock lie on the node's own.
+//! Conversion of the store's times to the node's own clock.
 
 use std::time::Duration;
 
 use super::StoreTime;
 use crate::time::MonotonicTime;
 
-/// Two sound clocks drift apart by less than one part of this many.
+/// Divisor that bounds clock drift: two working clocks drift apart by less than 1/1000 of the elapsed time.
 const MAX_DRIFT_DIVISOR: u32 = 1_000;
 
-/// Where the times of the store's clock lie on the node's own, at the earliest.
+/// Converts times of the store's clock to the earliest possible times of the node's own clock.
 ///
-/// What the store's clock shows in an answer it showed after the question was asked. So the time of the question, however
-/// long question and answer were held up, is a lower bound for the time shown, and with it for all others.
+/// The store reads its clock for an answer after the node has sent the request. So the time of the request, however
+/// long request and answer were delayed, is a lower bound for the time in the answer, and thereby for all other times.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreClock {
-    /// The time of a question, and what the store's clock showed in the answer.
+    /// Time at which a request was sent, and the time of the store's clock in its answer.
     reading: Option<(MonotonicTime, StoreTime)>,
 }
 
 impl StoreClock {
-    /// Takes in what the store's clock showed in the answer to a question asked at `asked`.
+    /// Records the time `shown` in the store's answer to a request sent at `asked`.
     pub fn record(&mut self, asked: MonotonicTime, shown: StoreTime) {
         if self.earliest(shown).is_none_or(|earliest| earliest <= asked) {
             self.reading = Some((asked, shown));
         }
     }
 
-    /// The earliest time at which the store's clock may have shown `shown`; `None` before the first answer.
+    /// Returns the earliest time at which the store's clock may have shown `shown`; `None` before the first answer.
     pub fn earliest(&self, shown: StoreTime) -> Option<MonotonicTime> {
         let (asked, read) = self.reading?;
         let later = Duration::from_millis(shown.0.saturating_sub(read.0));
--- a/crates/coltsfootroute/src/freshness/store_time.rs
+++ b/crates/coltsfootroute/src/freshness/store_time.rs
@@ -1,6 +1,6 @@
 //! A reading of the store's clock.
 
 value_type! {
-    /// Milliseconds that the store's steady clock shows; comparable between nodes.
+    /// Milliseconds on the store's monotonic clock; comparable between nodes.
     pub struct StoreTime(pub u64);
 }
--- a/crates/coltsfootroute/src/quarantine.rs
+++ b/crates/coltsfootroute/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Quarantine of requests that crash the upstreams that run them: fingerprints that identify equal requests, the crashes
-//! in which each was involved, and the requests that are no longer forwarded.
+//! Quarantine of requests that crash the upstreams that run them: fingerprints that identify equal requests, the
+//! crashes in which each was involved, and the requests that are no longer forwarded.
 
 mod answered_requests;
 mod crash_id;
--- a/crates/coltsfootroute/src/quarantine/crash_report.rs
+++ b/crates/coltsfootroute/src/quarantine/crash_report.rs
@@ -4,8 +4,8 @@
 
 use super::{CrashId, RequestFingerprint};
 
-/// Largest number of suspects named for one crash: 2 KB. An upstream with more slots can crash with more calls in flight,
-/// but a crash with that many suspects is weak evidence against each of them.
+/// Largest number of suspects named for one crash: 2 KB. An upstream with more slots can crash with more calls in
+/// flight, but a crash with that many suspects is weak evidence against each of them.
 pub const MAX_SUSPECTS: usize = 128;
 
 record_type! {
--- a/crates/coltsfootroute/src/quarantine/quarantine_case.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_case.rs
@@ -6,8 +6,9 @@
 use crate::time::MonotonicTime;
 
 value_type! {
-    /// Number of changes of a case: odd while the request is quarantined, even once it has been released. Of two terms of one
-    /// case the higher one applies, whichever node sends it and in whatever order, so that nodes that receive both agree.
+    /// Number of changes of a case: odd while the request is quarantined, even once it has been released. Of two terms
+    /// of one case the higher one applies, whichever node sends it and in whatever order, so that nodes that receive
+    /// both agree.
     #[derive(Default, serde::Serialize, serde::Deserialize)]
     #[serde(transparent)]
     pub struct CaseTerm(pub u32);
--- a/crates/coltsfootroute/src/quarantine/quarantine_register.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_register.rs
@@ -12,8 +12,8 @@
 };
 use crate::time::MonotonicTime;
 
-/// Number of crashes during which a request has to be in flight before it is quarantined. A request that was cut off at one
-/// upstream and retried at the next can be in flight at two; the users accept three.
+/// Number of crashes during which a request has to be in flight before it is quarantined. A request that was cut off at
+/// one upstream and retried at the next can be in flight at two; the users accept three.
 const QUARANTINE_CRASHES: usize = 3;
 /// Time for which a crash counts against the requests that were in flight. Callers retry within minutes; a request that
 /// comes once an hour costs one upstream an hour.
@@ -21,20 +21,20 @@
 /// Largest number of crashes kept: 260 KB with all their suspects. More crashes within [`CRASH_RETENTION`] have another
 /// cause.
 const MAX_CRASHES: usize = 128;
-/// An answer clears a request of all crashes before it and of those within this time after it: a request that an upstream
-/// has just answered does not crash the next one. A request that becomes fatal, through a new release of the service or
-/// through stored data, is quarantined later by this time.
+/// An answer clears a request of all crashes before it and of those within this time after it: a request that an
+/// upstream has just answered does not crash the next one. A request that becomes fatal, through a new release of the
+/// service or through stored data, is quarantined later by this time.
 const ANSWER_VALIDITY: Duration = Duration::from_secs(30);
 /// Largest number of suspects whose last answer is kept.
 const MAX_ANSWERS: usize = 4_096;
-/// Time for which a case is kept, quarantined or released. After a day its service has had a new release, or the request
-/// is no longer sent.
+/// Time for which a case is kept, quarantined or released. After a day its service has had a new release, or the
+/// request is no longer sent.
 const CASE_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 /// Largest number of cases kept; the oldest are evicted: 100 KB. Each case stands for three crashed upstreams.
 const MAX_CASES: usize = 1_024;
-/// Time after which a quarantined request may run once, as a trial of whether it is harmless. The trial costs an upstream
-/// if the request is fatal, so that there is one trial in all nodes together; callers of a harmless request are refused
-/// for a minute.
+/// Time after which a quarantined request may run once, as a trial of whether it is harmless. The trial costs an
+/// upstream if the request is fatal, so that there is one trial in all nodes together; callers of a harmless request
+/// are refused for a minute.
 const TRIAL_DELAY: Duration = Duration::from_secs(60);
 /// Delay before a claim for a trial that the store did not answer is retried.
 const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(10);
@@ -56,9 +56,9 @@
 /// Register of requests that crash the upstreams that run them.
 ///
 /// Guards report each crash of an upstream with all requests that were in flight there. The request that causes crashes
-/// appears in each of their reports; a request that was merely in flight does not, or is answered elsewhere, which clears
-/// it. A request that was in flight at three crashes without an answer is quarantined by every node that receives the
-/// reports, until an answer, a trial or an operator releases it, or a day has passed.
+/// appears in each of their reports; a request that was merely in flight does not, or is answered elsewhere, which
+/// clears it. A request that was in flight at three crashes without an answer is quarantined by every node that
+/// receives the reports, until an answer, a trial or an operator releases it, or a day has passed.
 ///
 /// Nodes merge each other's updates: reports are identified by their crash, and the higher term of a case applies.
 #[derive(Clone, Debug, Default)]
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Records that an upstream has answered the request. Returns the note to send to other nodes if the answer clears the
-    /// request of a crash or releases it.
+    /// Records that an upstream has answered the request. Returns the note to send to other nodes if the answer clears
+    /// the request of a crash or releases it.
     pub fn record_answer(
         &mut self,
         now: MonotonicTime,
--- a/crates/coltsfootroute/src/quarantine/quarantine_row.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_row.rs
@@ -9,7 +9,8 @@
 const CASE_PREFIX: &str = "quarantine/";
 /// Prefix of the row keys of trials.
 const TRIAL_PREFIX: &str = "quarantine-trial/";
-/// Largest number of cases that a starting node reads: as many rows as a platform's table service returns in one answer.
+/// Largest number of cases that a starting node reads: as many rows as a platform's table service returns in one
+/// answer.
 const PAGE_ROWS: usize = 500;
 
 record_type! {
@@ -24,8 +25,8 @@
 }
 
 impl QuarantineRow {
-    /// Creates a request that writes the row. The first change of a case is written only if the row is absent, so that only
-    /// the first of several nodes writes it; later changes overwrite the row.
+    /// Creates a request that writes the row. The first change of a case is written only if the row is absent, so that
+    /// only the first of several nodes writes it; later changes overwrite the row.
     pub fn write(&self, fingerprint: RequestFingerprint) -> TableRequest {
         let is_first = self.term == CaseTerm::default().next();
         TableRequest::Transact(vec![RowWrite {
--- a/crates/coltsfootroute/src/quarantine/quarantine_update.rs
+++ b/crates/coltsfootroute/src/quarantine/quarantine_update.rs
@@ -5,7 +5,7 @@
 use super::{CaseNote, CrashReport, RequestFingerprint};
 
 record_type! {
-    /// Notes that an upstream has answered a suspected request.
+    /// Answer of an upstream to a suspected request.
     pub struct AnswerNote {
         /// The request.
         pub fingerprint: RequestFingerprint,
--- a/crates/coltsfootroute/src/quarantine/request_fingerprint.rs
+++ b/crates/coltsfootroute/src/quarantine/request_fingerprint.rs
@@ -30,19 +30,20 @@
 }
 
 value_type! {
-    /// The first 128 bits of SHA-256 over a request's [parts](FingerprintParts), equal at every hop and node. Displayed as
-    /// 32 hexadecimal digits.
+    /// The first 128 bits of SHA-256 over a request's [parts](FingerprintParts), equal at every hop and node. Displayed
+    /// as 32 hexadecimal digits.
     ///
-    /// It is infeasible to find a second request with the fingerprint of a given one, so that no caller's request is mistaken
-    /// for another's; a pair of requests constructed to share a fingerprint affects only the caller that constructed it.
+    /// It is infeasible to find a second request with the fingerprint of a given one, so that no caller's request is
+    /// mistaken for another's; a pair of requests constructed to share a fingerprint affects only the caller that
+    /// constructed it.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(try_from = "String", into = "String")]
     pub struct RequestFingerprint(pub u128);
 }
 
 impl RequestFingerprint {
-    /// Computes the fingerprint of a request. It hashes the whole body and is therefore not computed while no request is
-    /// suspected.
+    /// Computes the fingerprint of a request. It hashes the whole body and is therefore not computed while no request
+    /// is suspected.
     pub fn of(parts: &FingerprintParts<'_>) -> Self {
         let mut hash = Sha256::new();
         parts.feed(|bytes| hash.update(bytes));
--- a/crates/coltsfootroute/src/quota.rs
+++ b/crates/coltsfootroute/src/quota.rs
@@ -1,8 +1,8 @@
-//! Rate limits of teams, over all nodes together.
+//! Rate limits of teams, enforced over all nodes together.
 //!
-//! One node owns the credit of a team: the first of a group that all agree on by a hash. Nodes that take the team's
-//! requests in ask it for credit ahead of need, a fraction of a second's worth at a time, which lapses. So every request
-//! that enters is paid for from one bucket, and most wait for nothing.
+//! One node owns the credit of a team; all nodes determine it by a hash over the members. Nodes that admit the team's
+//! requests prefetch credit from the owner, a fraction of a second's worth at a time, which expires if unused. So every
+//! admitted request is charged to one token bucket, and most requests wait for no message.
 
 mod credit_grant;
 mod credit_ledger;
--- a/crates/coltsfootroute/src/quota/credit_grant.rs
+++ b/crates/coltsfootroute/src/quota/credit_grant.rs
@@ -1,16 +1,16 @@
-//! What the owner of a team's credit answers.
+//! Answer of the owner of a team's credit.
 
 use std::time::Duration;
 
 value_type! {
-    /// What the owner of a team's credit answers.
+    /// Answer of the owner of a team's credit to a [`CreditRequest`](super::CreditRequest).
     pub struct CreditGrant {
-        /// Requests that may be taken in.
+        /// Number of requests that may be admitted.
         pub granted: u32,
-        /// Time until there is credit for somebody, where nothing was granted; else zero.
+        /// Time until the owner has credit for any node, if nothing was granted; zero otherwise.
         pub wait: Duration,
-        /// Part of the team's rate that the requester may go on with while no owner answers, in thousandths of a request a
-        /// second. The parts of all that asked of late add up to the rate.
+        /// Share of the team's rate that the requester may use while no owner answers, in thousandths of a request a
+        /// second. The shares of all recent requesters add up to the rate.
         pub share_milli: u32,
     }
 }
--- a/crates/coltsfootroute/src/quota/credit_ledger.rs
+++ b/crates/coltsfootroute/src/quota/credit_ledger.rs
@@ -1,4 +1,4 @@
-//! The credit of the teams that a node owns.
+//! Credit of the teams that a node owns.
 
 use std::time::Duration;
 
@@ -9,67 +9,67 @@
     id::NodeId, name::TeamName, schema::RateLimit, table::TokenBucket, time::MonotonicTime,
 };
 
-/// After a start, or a change among those that may own credit, another node may have given out a team's credit of late: for
-/// as long as what it has given out counts.
+/// Time after a start, or after a change of the nodes that may own credit, during which another node may have recently
+/// granted credit of a team that has not expired yet.
 pub const SETTLING_TIME: Duration = Duration::from_secs(5);
-/// A new owner gives out a part of the rate for so long: until then some nodes may still ask the one before.
+/// Time for which a new owner grants only a part of the rate, since some nodes may still send requests to the previous
+/// owner.
 const REDUCED_RATE_TIME: Duration = Duration::from_secs(2);
-/// That part.
+/// Fraction of the rate that a new owner grants during [`REDUCED_RATE_TIME`].
 const REDUCED_RATE_FACTOR: f64 = 0.5;
-/// An owner that was not asked for so long may not have been the owner all the while.
+/// Time without credit requests after which an owner may not have been the owner throughout.
 const MAX_REQUEST_GAP: Duration = Duration::from_secs(1);
-/// Who has not asked for so long has no part of the rate.
+/// Time without credit requests after which a node has no share of the rate.
 const REQUESTER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Credit that was not asked for so long is full again.
+/// Time without credit requests after which a team is removed: its bucket is full again.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Thousandths in one.
 const MILLIS_PER_UNIT: u32 = 1_000;
 
-/// The credit of the teams that a node owns.
+/// Credit of the teams that a node owns.
 ///
-/// A new owner begins with nothing and with half of the rate: what the one before has given out is not known, and it may
-/// go on for a moment where nodes disagree about the members.
+/// A new owner starts with an empty bucket and half of the rate: it doesn't know how much the previous owner has
+/// granted, and that one may continue for a moment while nodes disagree about the members.
 #[derive(Clone, Debug, Default)]
 pub struct CreditLedger {
     teams: IndexMap<TeamName, OwnedCredit>,
 }
 
-/// The credit of one team.
+/// Credit of one team.
 #[derive(Clone, Debug)]
 struct OwnedCredit {
     limit: RateLimit,
     bucket: TokenBucket,
-    /// Until then only a part of the rate is given out.
+    /// Time until which only a part of the rate is granted; `None` for the full rate.
     reduced_until: Option<MonotonicTime>,
-    /// Whether the credit has begun anew since another node may have owned it.
+    /// Whether the credit has been restarted since another node may have owned it.
     is_restarted: bool,
     last_request_at: MonotonicTime,
-    /// Who asked of late, and when last.
+    /// Nodes that recently requested credit, with the time of their last request.
     requesters: IndexMap<NodeId, MonotonicTime>,
 }
 
-/// A request for credit.
+/// Request of a node for credit of a team.
 #[derive(Clone, Copy, Debug)]
 pub struct CreditRequest<'a> {
-    /// Who asks.
+    /// Node that requests credit.
     pub requester: NodeId,
-    /// Whose credit.
+    /// Team whose credit is requested.
     pub team: &'a TeamName,
-    /// Limit of the team.
+    /// Rate limit of the team.
     pub limit: RateLimit,
-    /// Requests to take in.
+    /// Number of requests to admit.
     pub wanted: u32,
-    /// Requests that the requester has taken in without being asked, since it was last answered.
+    /// Number of requests that the requester has admitted on its own share since it was last answered.
     pub used: u32,
 }
 
 impl CreditLedger {
-    /// Owns nothing yet.
+    /// Creates a ledger without teams.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Gives out credit; `is_sole` says whether no other node can have owned it for [`SETTLING_TIME`].
+    /// Grants credit. `is_sole` states that no other node can have owned it for [`SETTLING_TIME`].
     pub fn grant(
         &mut self,
         now: MonotonicTime,
@@ -82,7 +82,7 @@
         credit.grant(now, &request)
     }
 
-    /// Forgets credit that nobody asks for.
+    /// Removes teams for which no node has requested credit for `IDLE_TIMEOUT`.
     pub fn prune(&mut self, now: MonotonicTime) {
         self.teams.retain(|_, credit| now.since(credit.last_request_at) < IDLE_TIMEOUT);
     }
@@ -106,7 +106,7 @@
         credit
     }
 
-    /// Follows a changed limit, and a change among those that may own the credit.
+    /// Applies a changed limit, and a change of the nodes that may own the credit.
     fn update(&mut self, now: MonotonicTime, limit: RateLimit, is_sole: bool) {
         let is_gap = now.since(self.last_request_at) >= MAX_REQUEST_GAP;
         if is_sole {
@@ -129,7 +129,7 @@
         self.bucket = TokenBucket::new(self.rate(), self.limit.burst.into()).emptied(now);
     }
 
-    /// Credit a second that is given out now.
+    /// Returns the rate at which credit is currently granted, in requests a second.
     fn rate(&self) -> f64 {
         let part = if self.reduced_until.is_some() { REDUCED_RATE_FACTOR } else { 1.0 };
         f64::from(self.limit.per_s) * part
@@ -138,7 +138,7 @@
     fn grant(&mut self, now: MonotonicTime, request: &CreditRequest<'_>) -> CreditGrant {
         self.requesters.insert(request.requester, now);
         self.requesters.retain(|_, asked| now.since(*asked) < REQUESTER_TIMEOUT);
-        // A new owner has no credit from the time before it, out of which that was used.
+        // A new owner has no credit from the time of the previous one, to which these requests would be charged.
         if !self.is_restarted {
             self.bucket.charge(now, request.used);
         }
--- a/crates/coltsfootroute/src/quota/owner_rank.rs
+++ b/crates/coltsfootroute/src/quota/owner_rank.rs
@@ -1,4 +1,4 @@
-//! Which node owns a team's credit.
+//! Selection of the node that owns a team's credit.
 
 use std::cmp::Reverse;
 
@@ -9,13 +9,13 @@
     name::{ServiceName, TeamName},
 };
 
-/// The one of `nodes` that owns the credit of `team` (rendezvous hashing): nodes that know the same members agree, and a
-/// node that comes or goes moves only the teams that it owns.
+/// Returns the one of `nodes` that owns the credit of `team`, by rendezvous hashing; `None` without nodes. Nodes that
+/// know the same members agree, and a node that joins or leaves moves only the teams that it owns.
 pub fn first_owner(team: &TeamName, nodes: impl IntoIterator<Item = NodeId>) -> Option<NodeId> {
     nodes.into_iter().max_by_key(|node| (weight(team, &node.to_string()), *node))
 }
 
-/// The services in the order in which their members may own the credit of `team`.
+/// Returns the services in the order in which their members may own the credit of `team`.
 pub fn ranked_services(
     team: &TeamName,
     services: impl IntoIterator<Item = ServiceName>,
--- a/crates/coltsfootroute/src/quota/team_credit.rs
+++ b/crates/coltsfootroute/src/quota/team_credit.rs
@@ -1,55 +1,57 @@
-//! The credit of a team at a node that takes its requests in.
+//! Credit of a team at a node that admits its requests.
 
 use std::time::Duration;
 
 use super::CreditGrant;
 use crate::time::MonotonicTime;
 
-/// Credit is asked for so far ahead of the demand: a few times what an answer takes, and short enough that what is held
-/// unused by all nodes together stays small against a second's rate.
+/// Time of demand for which credit is prefetched: a few times the latency of an answer, and short enough that the
+/// unused credit of all nodes together stays small against a second's rate.
 const PREFETCH_TIME: Duration = Duration::from_millis(300);
-/// Credit that was not used for so long expires_at: it counts for the time in which it was given.
+/// Time after which unused credit expires: it counts toward the rate at the time when it was granted.
 const CREDIT_LIFETIME: Duration = Duration::from_millis(600);
-/// The demand is averaged over so long.
+/// Time constant over which the demand is averaged.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
-/// While no owner answers, a node goes on with its own part for so long: another owner is known by then.
+/// Longest time for which a node uses its own share of the rate while no owner answers; by then another owner is known.
 const MAX_OWN_SHARE_TIME: Duration = Duration::from_secs(3);
-/// A team that has sent nothing for so long is forgotten: its demand has faded, and no part of the rate is its own.
+/// Time without requests after which the credit of a team is dropped: the averaged demand has decayed, and the node has
+/// no share of the rate any more.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Keeps the pause between two requests within its bounds.
+/// Largest number of doublings of the pause between two requests for credit.
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
+/// Smallest share of the rate, in requests a second, from which the bound of that pause is computed.
 const MIN_SHARE_PER_S: f64 = 0.1;
-/// Thousandths in one.
 const MILLIS_PER_UNIT: f64 = 1_000.0;
 
-/// The credit of a team at a node that takes its requests in.
+/// Credit of a team at a node that admits its requests.
 #[derive(Clone, Debug)]
 pub struct TeamCredit {
     available: u32,
-    /// What is left lapses then.
+    /// Time at which the available credit expires.
     expires_at: MonotonicTime,
-    /// Requests a second of late, as of `demand_at`.
+    /// Averaged demand in requests a second, as of `demand_at`.
     demand: f64,
     demand_at: MonotonicTime,
-    /// Credit a second that the node may give itself while no owner answers.
+    /// Credit that the node may grant itself while no owner answers, in requests a second.
     share: f64,
-    /// When an owner last answered.
+    /// Time of an owner's last answer; `None` before the first.
     last_grant_at: Option<MonotonicTime>,
-    /// Up to when the node has given itself its part, and what of it is not a whole credit.
+    /// Time up to which the node has granted itself its share.
     own_until: MonotonicTime,
+    /// Fraction of a credit left over from granting whole credits up to `own_until`.
     own_fraction: f64,
-    /// Part of what is left that the node has given itself; used first.
+    /// Part of the available credit that the node has granted itself; used first.
     own_available: u32,
-    /// Credit of its own giving that it has used since an owner last answered.
+    /// Credit granted by the node itself and used since an owner last answered.
     own_used: u32,
-    /// The owner has said that there is no credit before.
+    /// Time before which there is no credit, according to the owner.
     exhausted_until: MonotonicTime,
-    /// Answers by which there was none, less those by which there was some.
+    /// Number of answers that denied credit less those that granted some; the exponent of the pause between requests.
     denials: u32,
 }
 
 impl TeamCredit {
-    /// No credit yet.
+    /// Creates a state without credit.
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             available: 0,
@@ -67,13 +69,13 @@
         }
     }
 
-    /// Counts a request of the team.
+    /// Adds a request of the team to the demand.
     pub fn record_demand(&mut self, now: MonotonicTime) {
         self.demand = self.current_demand(now) + 1.0 / DEMAND_WINDOW.as_secs_f64();
         self.demand_at = now;
     }
 
-    /// Takes the credit for one request, if there is any.
+    /// Acquires the credit for one request. Returns whether there was any.
     pub fn acquire(&mut self, now: MonotonicTime) -> bool {
         self.drop_expired(now);
         let has_any = self.available > 0;
@@ -84,35 +86,37 @@
         has_any
     }
 
-    /// The request for which credit was taken has not run, nor will it. What has lapsed meanwhile is lost.
+    /// Refunds the credit of a request that has not run and won't. Credit that has expired in the meantime is lost.
     pub fn refund(&mut self, now: MonotonicTime) {
         if now < self.expires_at {
             self.available += 1;
         }
     }
 
-    /// Credit to ask for now, with `waiting` requests at hand that have none; 0 if there is enough.
+    /// Returns the amount of credit to request now, for `waiting` requests without credit and the expected demand; 0 if
+    /// there is enough.
     pub fn wanted(&mut self, now: MonotonicTime, waiting: u32) -> u32 {
         self.drop_expired(now);
         if self.exhausted_for(now).is_some() {
             return 0;
         }
         let ahead = self.current_demand(now) * PREFETCH_TIME.as_secs_f64();
-        // Half of it is enough to go on with while the next is asked for.
+        // Half of it lasts until the answer to the next request for credit arrives.
         let is_low = f64::from(self.available) < ahead / 2.0;
         if waiting == 0 && !is_low {
             return 0;
         }
-        // Some hundred at most; whole numbers only, so that a team with few requests asks for each as it comes.
+        // A few hundred at most. Rounded down, so that a team with few requests requests credit for each of them.
         (ahead as u32).saturating_sub(self.available) + waiting
     }
 
-    /// Credit that the node has given itself and used since an owner last last_grant_at: the next one is to be told.
+    /// Returns the credit that the node has granted itself and used since an owner last answered, to be reported with
+    /// the next request for credit.
     pub fn used(&self) -> u32 {
         self.own_used
     }
 
-    /// Takes in the answer of an owner that was told of what was [`used`](Self::used).
+    /// Adds the grant of an owner to which the credit [`used`](Self::used) was reported.
     pub fn grant(&mut self, now: MonotonicTime, grant: CreditGrant) {
         self.add(now, grant.granted);
         self.own_used = 0;
@@ -123,8 +127,8 @@
         self.exhausted_until = now + self.pause(grant);
     }
 
-    /// Time before the owner is asked again: until there is credit, longer with each answer by which others had taken it, and
-    /// no longer than it takes for the node's own part of the rate.
+    /// Returns the pause before the next request to the owner: until there is credit, doubled with each denial, and at
+    /// most the time in which the node's own share of the rate yields one credit, unless the owner states a longer one.
     fn pause(&mut self, grant: CreditGrant) -> Duration {
         if grant.granted > 0 {
             self.denials = self.denials.saturating_sub(1);
@@ -136,13 +140,14 @@
         doubled.min(share_pause.max(grant.wait))
     }
 
-    /// No owner answers: the node gives itself its part of the rate, for a while.
+    /// Grants the node its own share of the rate while no owner answers, for at most `MAX_OWN_SHARE_TIME` after the
+    /// last answer.
     pub fn grant_own_share(&mut self, now: MonotonicTime) {
         let Some(answered) = self.last_grant_at else { return };
         let until = now.min(answered + MAX_OWN_SHARE_TIME);
         let time = until.since(self.own_until).as_secs_f64();
         let part = self.own_fraction + self.share * time;
-        // A part of a second's rate.
+        // Far below `u32::MAX`: the share covers seconds at most.
         let whole = part as u32;
         self.own_fraction = part - f64::from(whole);
         self.own_until = self.own_until.max(until);
@@ -150,13 +155,13 @@
         self.own_available += whole;
     }
 
-    /// Time until the owner has credit again, if it has said that it has none.
+    /// Returns the time until the owner has credit again; `None` unless it has reported that it has none.
     pub fn exhausted_for(&self, now: MonotonicTime) -> Option<Duration> {
         let wait = self.exhausted_until.since(now);
         (wait > Duration::ZERO).then_some(wait)
     }
 
-    /// Whether the team has sent nothing for long.
+    /// Returns whether the team has sent no request for `IDLE_TIMEOUT`.
     pub fn is_idle(&self, now: MonotonicTime) -> bool {
         now.since(self.demand_at) >= IDLE_TIMEOUT
     }
--- a/crates/coltsfootroute/src/team.rs
+++ b/crates/coltsfootroute/src/team.rs
@@ -1,4 +1,4 @@
-//! Teams: who may call, how important a team's requests are, how many it may send.
+//! Teams: their keys, the importance of their requests, and their turns in a shared queue.
 
 mod key_digest;
 mod request_ranks;
--- a/crates/coltsfootroute/src/team/key_digest.rs
+++ b/crates/coltsfootroute/src/team/key_digest.rs
@@ -7,26 +7,27 @@
 use crate::revision::digest_bytes;
 
 value_type! {
-    /// SHA-256 of a key, written as 64 lower-case hexadecimal digits. The only form in which a key is kept, sent between
-    /// nodes, recorded or shown: whoever reads it learns no key, as long as keys are drawn at random.
+    /// SHA-256 of a key, written as 64 lower-case hexadecimal digits. The only form in which a key is kept, sent
+    /// between nodes, recorded or displayed: a reader can't derive the key from it, provided that keys are drawn at
+    /// random.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(try_from = "String", into = "String")]
     pub struct KeyDigest([u8; 32]);
 }
 
 impl KeyDigest {
-    /// Digest of the key `key`.
+    /// Computes the digest of `key`.
     pub fn of_key(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 
-    /// The first digits, which tell keys apart for a reader.
+    /// Returns the first `SHORT_DIGITS` digits, by which a reader distinguishes keys.
     pub fn short(&self) -> String {
         self.to_string()[..SHORT_DIGITS].to_owned()
     }
 }
 
-/// Digits that tell the keys of a deployment apart.
+/// Number of digits that suffice to distinguish the keys of a deployment.
 const SHORT_DIGITS: usize = 12;
 
 impl fmt::Display for KeyDigest {
@@ -57,7 +58,7 @@
     }
 }
 
-/// The text is no digest of a key. It may be the key itself, so that it is not repeated.
+/// Error for a text that is not the digest of a key. It omits the text, which may be the key itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "expected the SHA-256 of a key as 64 hexadecimal digits, as `coltsfootctl digest-key` prints it"
--- a/crates/coltsfootroute/src/team/request_ranks.rs
+++ b/crates/coltsfootroute/src/team/request_ranks.rs
@@ -7,22 +7,22 @@
     schema::{ClientEntry, SchemaDocument, TeamEntry},
 };
 
-/// Importance of a team, then that of the operation.
+/// Importance of a team, followed by that of the operation.
 type RequestRank = (Importance, Importance);
 
-/// Importance of requests where teams have their own: the team's goes before the operation's, which orders the requests of
-/// teams that are alike.
+/// Importance of requests where teams have an importance of their own. The team's importance takes precedence; the
+/// operation's orders the requests of teams of equal importance.
 ///
-/// The least important rank in use takes the lowest level, those above it follow without a gap, and all beyond the last
-/// level share it.
+/// The least important rank in use gets the lowest level, the ranks above it get the following levels without a gap,
+/// and all ranks beyond the last level share it.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRanks {
-    /// Empty where no team has an importance of its own: operations keep theirs.
+    /// Ranks in use, in ascending order. Empty if no team has an importance of its own: operations keep theirs.
     ranks: Vec<RequestRank>,
 }
 
 impl RequestRanks {
-    /// The ranks that `document` uses.
+    /// Collects the ranks that `document` uses.
     pub fn new(document: &SchemaDocument) -> Self {
         if document.teams.iter().all(|team| team.importance.is_none()) {
             return Self::default();
@@ -41,7 +41,7 @@
         Self { ranks: ranks.into_iter().collect() }
     }
 
-    /// Importance of a request of `team` that enters by `entry`.
+    /// Returns the importance of a request of `team` to the operation of `entry`.
     pub fn importance(&self, entry: &ClientEntry, team: Option<&TeamEntry>) -> Importance {
         match self.ranks.binary_search(&rank(entry, team)) {
             Ok(place) => Importance::from_index(place).unwrap_or(Importance::Critical),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Who has no importance of its own has that of the operation.
+/// Returns the rank of a request; a team without an importance of its own has that of the operation.
 fn rank(entry: &ClientEntry, team: Option<&TeamEntry>) -> RequestRank {
     let own = team.and_then(|team| team.importance);
     (own.unwrap_or(entry.importance), entry.importance)
--- a/crates/coltsfootroute/src/team/team_table.rs
+++ b/crates/coltsfootroute/src/team/team_table.rs
@@ -1,4 +1,4 @@
-//! Finds the team that holds a key.
+//! Lookup of teams by key and by name.
 
 use std::sync::Arc;
 
@@ -7,18 +7,19 @@
 use super::KeyDigest;
 use crate::{name::TeamName, schema::TeamEntry};
 
-/// The teams of a configuration, by key and by name. Made once for each configuration.
+/// The teams of a configuration, by key and by name. Built once for each configuration.
 #[derive(Clone, Debug, Default)]
 pub struct TeamTable {
     teams: IndexMap<TeamName, Arc<TeamEntry>>,
-    /// Place of the team in `teams`.
+    /// Index in `teams` of the team that holds each key.
     places: IndexMap<KeyDigest, usize>,
-    /// Lowest rate of a team that has one.
+    /// Lowest rate among the teams with a rate, in requests a second; `None` if no team has one.
     lowest_rate: Option<u32>,
 }
 
 impl TeamTable {
-    /// The table of `teams`. Of two teams with one key, which a checked schema does not have, the first holds it.
+    /// Builds the table of `teams`. If two teams share a key, which a validated schema excludes, the first one holds
+    /// it.
     pub fn new(teams: &[TeamEntry]) -> Self {
         let mut table = Self::default();
         for team in teams {
@@ -32,25 +33,25 @@
         table
     }
 
-    /// Turns of a team in each round of a queue that is shared out between teams: as many as its rate is times the lowest.
-    /// A team without a rate has one.
+    /// Returns the turns of a team in each round of a queue shared between teams: the ratio of its rate to the lowest
+    /// rate, at least 1. A team without a rate has one turn.
     pub fn turns(&self, team: &TeamEntry) -> u32 {
         let times = team.rate.zip(self.lowest_rate).map(|(rate, lowest)| rate.per_s / lowest);
         times.unwrap_or(1).max(1)
     }
 
-    /// Whether there is no team, so that nobody needs a key.
+    /// Returns whether there is no team, in which case callers need no key.
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
 
-    /// The team that holds the key.
+    /// Returns the team that holds the key; `None` if no team does.
     pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<TeamEntry>> {
         let (_, team) = self.teams.get_index(*self.places.get(key)?)?;
         Some(team)
     }
 
-    /// The team called `name`.
+    /// Returns the team called `name`; `None` if there is none.
     pub fn team(&self, name: &TeamName) -> Option<&TeamEntry> {
         self.teams.get(name).map(|team| &**team)
     }
