--- a/crates/coltsfootroute/src/once.rs
+++ b/crates/coltsfootroute/src/once.rs
@@ -1,19 +1,19 @@
 //! At-most-once execution of operations that must not be repeated.
 //!
 //! The guard beside the upstream claims an idempotency key by a conditional write immediately before
-//! dispatch, and dispatches only with the [`ClaimTicket`] that the claim gives. Nobody takes a claim over
-//! to run it again; only its holder may release it, and only if it never dispatched. Rows are never
-//! deleted, so the version of a row only rises and fences every late write.
+//! dispatch, and dispatches only with the [`ClaimTicket`] that the claim returns. No other node takes over
+//! a claim to run its request again; only the holder may release it, and only if it never dispatched.
+//! Rows are never deleted, so the version of a row only increases and fences off every delayed write.
 
 mod answer_body;
 mod answer_header;
 mod answer_machine;
 mod body_digest;
 mod busy_verdict;
+mod claim_details;
 mod claim_holder;
 mod claim_id;
 mod claim_machine;
-mod claim_note;
 mod claim_record;
 mod claim_refusal;
 mod claim_result;
@@ -34,7 +34,7 @@
 mod release_machine;
 mod row_view;
 mod run_answer;
-mod store_errand;
+mod store_task;
 mod stored_answer;
 mod sweep_step;
 mod wall_time;
@@ -43,9 +43,9 @@
 pub use answer_header::AnswerHeader;
 pub use body_digest::BodyDigest;
 pub use busy_verdict::BusyVerdict;
+pub use claim_details::ClaimDetails;
 pub use claim_holder::ClaimHolder;
 pub use claim_id::ClaimId;
-pub use claim_note::ClaimNote;
 pub use claim_record::ClaimRecord;
 pub use claim_refusal::ClaimRefusal;
 pub use claim_result::ClaimResult;
@@ -62,7 +62,7 @@
 pub use once_settings::OnceSettings;
 pub use record_sweeper::RecordSweeper;
 pub use run_answer::RunAnswer;
-pub use store_errand::{ErrandReply, ErrandRequest, StoreErrand};
+pub use store_task::{StoreTask, TaskReply, TaskRequest};
 pub use stored_answer::StoredAnswer;
 pub use sweep_step::SweepStep;
 pub use wall_time::WallTime;
--- a/crates/coltsfootroute/src/once/record_sweeper.rs
+++ b/crates/coltsfootroute/src/once/record_sweeper.rs
@@ -1,19 +1,20 @@
-//! Turns expired records into small ones.
+//! Replaces expired records by tombstones.
 
 use super::{AnswerBody, ClaimRecord, OnceKey, StoredAnswer, SweepStep, WallTime};
 use crate::table::{RowCondition, RowWrite, StoredRow, TableReply, TableRequest};
 
 record_type! {
-    /// One pass over the records: those whose retention has ended become [`ClaimRecord::Expired`], one
-    /// conditional transaction a page. Two sweeps at once do no harm: one of them meets a conflict.
+    /// One pass over the records, which replaces those whose retention has ended by
+    /// [`ClaimRecord::Expired`] in one conditional transaction a page. Concurrent sweeps are safe: the
+    /// transaction of one of them fails with a conflict.
     ///
-    /// Nothing is deleted: as long as the small record stands, the key is refused.
+    /// Rows are not deleted: the key is refused as long as its tombstone exists.
     pub struct RecordSweeper {
         now: WallTime,
         page: usize,
         after: String,
-        /// Objects of the transaction under way.
-        dropping: Vec<String>,
+        /// Objects of the records in the pending transaction.
+        pending_objects: Vec<String>,
         /// Objects that no record refers to any more.
         objects: Vec<String>,
         is_last_page: bool,
@@ -21,19 +22,19 @@
 }
 
 impl RecordSweeper {
-    /// A pass by pages of `page` rows, at least 1, at the time `now`.
+    /// Creates a pass at the time `now`, by pages of `page` rows (at least 1).
     pub fn new(now: WallTime, page: usize) -> Self {
         Self {
             now,
             page: page.max(1),
             after: String::new(),
-            dropping: Vec::new(),
+            pending_objects: Vec::new(),
             objects: Vec::new(),
             is_last_page: false,
         }
     }
 
-    /// The first request.
+    /// Returns the first request.
     pub fn start(&self) -> TableRequest {
         TableRequest::Scan {
             prefix: OnceKey::ROW_PREFIX.to_owned(),
@@ -42,17 +43,17 @@
         }
     }
 
-    /// Takes the reply to the last request.
+    /// Handles the reply to the last request.
     pub fn on_reply(&mut self, reply: &TableReply) -> SweepStep {
         match reply {
             TableReply::Rows(rows) => self.on_page(rows),
             TableReply::Committed => {
-                self.objects.append(&mut self.dropping);
+                self.objects.append(&mut self.pending_objects);
                 self.next_page()
             }
-            // Rows of this page have moved on: the next pass takes it again.
+            // Rows of this page have changed: the next pass processes them again.
             TableReply::Conflict(_) => {
-                self.dropping.clear();
+                self.pending_objects.clear();
                 self.next_page()
             }
             TableReply::Unavailable | TableReply::Uncertain => self.done(),
@@ -68,7 +69,7 @@
         if writes.is_empty() {
             return self.next_page();
         }
-        SweepStep::Ask(TableRequest::Transact(writes))
+        SweepStep::Send(TableRequest::Transact(writes))
     }
 
     fn shrink(&mut self, row: &StoredRow) -> Option<RowWrite> {
@@ -77,7 +78,7 @@
             return None;
         }
         if let Some(name) = object_of(record) {
-            self.dropping.push(name);
+            self.pending_objects.push(name);
         }
         let value = Some(ClaimRecord::Expired.to_value());
         let condition = RowCondition::Version(row.version);
@@ -85,7 +86,7 @@
     }
 
     fn next_page(&mut self) -> SweepStep {
-        if self.is_last_page { self.done() } else { SweepStep::Ask(self.start()) }
+        if self.is_last_page { self.done() } else { SweepStep::Send(self.start()) }
     }
 
     fn done(&mut self) -> SweepStep {
--- a/crates/coltsfootroute/src/once/release_machine.rs
+++ b/crates/coltsfootroute/src/once/release_machine.rs
@@ -1,35 +1,36 @@
-//! The state machine that releases a claim.
+//! State machine that releases a claim.
 
 use super::{
     ClaimId, ClaimRecord,
-    claim_refusal::ClaimTrace,
+    claim_refusal::ClaimEffect,
     row_view::{self, RowView},
 };
 use crate::table::{RowKey, RowVersion, TableReply, TableRequest};
 
 record_type! {
-    /// Makes sure that a claim that never led to a dispatch neither stands in the table nor can still
-    /// appear there.
+    /// Ensures that a claim that never led to a dispatch neither is in the table nor can still appear
+    /// there.
     ///
-    /// It writes [`ClaimRecord::Free`] over the own claim, or over whatever the claim's late write waits
-    /// for; that write raises the version, so the late one can't take effect. The row isn't deleted:
-    /// its version would start again at 1, and a late write would meet its condition.
+    /// It overwrites the claim, or the row that a delayed write of the claim is conditional on, with
+    /// [`ClaimRecord::Free`]. That write increases the version, so that the delayed write can't take
+    /// effect. The row isn't deleted: its version would start again at 1, and the condition of a delayed
+    /// write could hold again.
     pub struct ReleaseMachine {
         claim_id: ClaimId,
         row_key: RowKey,
-        /// What the claim was written on; `None` for no row.
+        /// Version of the row that the claim was to overwrite; `None` if there was no row.
         base: Option<RowVersion>,
     }
 }
 
-/// What to do next for a release.
+/// Next step of a release.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReleaseStep {
-    /// Send this request and give its reply back.
-    Ask(TableRequest),
-    /// The store didn't answer: start again later.
-    Later,
-    /// The claim is gone for good.
+    /// Send this request and pass its reply to [`ReleaseMachine::on_reply`].
+    Send(TableRequest),
+    /// The store didn't answer; the release starts again after a delay.
+    Retry,
+    /// The claim is neither in the table nor can it appear there any more.
     Released,
 }
 
@@ -38,31 +39,35 @@
         Self { claim_id, row_key, base }
     }
 
-    /// The release that `trace` asks for, if any.
-    pub(super) fn for_trace(claim_id: ClaimId, row_key: RowKey, trace: ClaimTrace) -> Option<Self> {
-        match trace {
-            ClaimTrace::None => None,
-            ClaimTrace::InDoubt(base) => Some(Self::new(claim_id, row_key, base)),
-            ClaimTrace::Standing(version) => {
+    /// Creates the release that `effect` requires; `None` if the claim wrote nothing.
+    pub(super) fn for_effect(
+        claim_id: ClaimId,
+        row_key: RowKey,
+        effect: ClaimEffect,
+    ) -> Option<Self> {
+        match effect {
+            ClaimEffect::None => None,
+            ClaimEffect::InDoubt(base) => Some(Self::new(claim_id, row_key, base)),
+            ClaimEffect::Stored(version) => {
                 let base = RowVersion(version.0 - 1);
                 Some(Self::new(claim_id, row_key, (base.0 > 0).then_some(base)))
             }
         }
     }
 
-    /// The first request of a round.
+    /// Returns the first request of an attempt.
     pub fn start(&self) -> TableRequest {
         TableRequest::Read(self.row_key.clone())
     }
 
-    /// Takes the reply to the last request.
+    /// Handles the reply to the last request.
     pub fn on_reply(&self, reply: &TableReply) -> ReleaseStep {
         match reply {
             TableReply::Committed => ReleaseStep::Released,
             TableReply::Rows(rows) | TableReply::Conflict(rows) => {
                 self.on_row(RowView::of(&self.row_key, rows))
             }
-            TableReply::Unavailable | TableReply::Uncertain => ReleaseStep::Later,
+            TableReply::Unavailable | TableReply::Uncertain => ReleaseStep::Retry,
         }
     }
 
@@ -77,12 +82,12 @@
             RowView::Present(version, ClaimRecord::Free) if Some(version) == self.base => {
                 self.write_free(Some(version))
             }
-            // The row has moved past the base: the claim's write can't take effect any more.
-            RowView::Present(..) | RowView::Foreign => ReleaseStep::Released,
+            // The row is at a later version than the base: the claim's write can't take effect any more.
+            RowView::Present(..) | RowView::Unreadable => ReleaseStep::Released,
         }
     }
 
     fn write_free(&self, base: Option<RowVersion>) -> ReleaseStep {
-        ReleaseStep::Ask(row_view::write(&self.row_key, base, &ClaimRecord::Free))
+        ReleaseStep::Send(row_view::write(&self.row_key, base, &ClaimRecord::Free))
     }
 }
--- a/crates/coltsfootroute/src/once/store_errand.rs
+++ b/crates/coltsfootroute/src/once/store_task.rs
@@ -1,22 +1,22 @@
-//! Work for the store that no caller waits for.
+//! Background requests to the store, which no caller waits for.
 
 use super::ClaimId;
 use crate::table::{ObjectReply, TableReply, TableRequest};
 
 record_type! {
-    /// A request to be sent for a claim; its reply goes to
-    /// [`OnceGuard::on_errand_reply`](super::OnceGuard::on_errand_reply).
-    pub struct StoreErrand {
-        /// The claim.
+    /// A background request for a claim. Its reply goes to
+    /// [`OnceGuard::on_task_reply`](super::OnceGuard::on_task_reply).
+    pub struct StoreTask {
+        /// Identifier of the claim.
         pub claim_id: ClaimId,
         /// The request.
-        pub request: ErrandRequest,
+        pub request: TaskRequest,
     }
 }
 
 record_type! {
     /// A request to the table service or to the object store.
-    pub enum ErrandRequest {
+    pub enum TaskRequest {
         /// To the table service.
         Table(TableRequest),
         /// Stores an object.
@@ -30,8 +30,8 @@
 }
 
 record_type! {
-    /// The reply to an [`ErrandRequest`].
-    pub enum ErrandReply {
+    /// Reply to a [`TaskRequest`].
+    pub enum TaskReply {
         /// From the table service.
         Table(TableReply),
         /// From the object store.
