--- a/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::TcpListener, rc::Rc, thread, time::Duration};
 
-use coltsfootroute::{event::EventKind, time::SuspensionWatch};
+use coltsfootroute::{event::EventKind, time::SuspensionDetector};
 use tokio::{
     runtime,
     sync::{mpsc, oneshot},
@@ -176,11 +176,11 @@
     async fn upkeep(self: Rc<Self>) {
         let mut period = interval(UPKEEP_PERIOD);
         let mut meter = DutyMeter::new(self.context.metrics.clone(), NodeDuty::Dispatch);
-        let mut suspensions = SuspensionWatch::default();
+        let mut suspensions = SuspensionDetector::default();
         loop {
             period.tick().await;
             meter.report();
-            if let Some(time) = suspensions.look(self.context.clock.suspended()) {
+            if let Some(time) = suspensions.detect(self.context.clock.suspended()) {
                 let suspended_ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
                 self.context.events.emit(EventKind::HostSuspended { suspended_ms });
                 self.guard.note_suspension();
--- a/crates/coltsfoot-node/src/dispatch/entry_port.rs
+++ b/crates/coltsfoot-node/src/dispatch/entry_port.rs
@@ -8,7 +8,7 @@
 
 use coltsfoot_wire::peer::CallReply;
 use coltsfootroute::{
-    event::EventKind, id::RequestId, membership::InstanceLife, time::MonotonicTime,
+    event::EventKind, id::RequestId, membership::InstanceIncarnation, time::MonotonicTime,
 };
 
 use super::{
@@ -99,7 +99,7 @@
     }
 
     /// The instance has left, or is about to: nothing is dispatched to it from now on.
-    pub async fn leave(&self, instance: InstanceLife) -> UpstreamReceipt {
+    pub async fn leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
         self.guard.hear_leave(instance).await
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/guard/guard_state.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/guard_state.rs
@@ -4,7 +4,7 @@
 
 use coltsfootroute::{
     admission::{AdmissionDecision, AdmissionGate, AdmissionVerdict, BreachCounter, ShedLevel},
-    membership::{HeartbeatWatch, InstanceLedger},
+    membership::{HeartbeatWatch, InstanceTracker},
     time::MonotonicTime,
 };
 use indexmap::IndexMap;
@@ -30,7 +30,7 @@
 pub struct GuardState {
     pub(in crate::dispatch) upstream: RefCell<Option<GuardedUpstream>>,
     /// Lives of the upstream, where it names them.
-    pub(in crate::dispatch) instances: RefCell<InstanceLedger>,
+    pub(in crate::dispatch) instances: RefCell<InstanceTracker>,
     pub(in crate::dispatch) gate: RefCell<Option<AdmissionGate>>,
     /// Calls offered to the gate that have no verdict yet.
     pub(in crate::dispatch) waiting: RefCell<IndexMap<u64, oneshot::Sender<AdmissionDecision>>>,
--- a/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
@@ -5,7 +5,8 @@
 use coltsfootroute::{
     event::EventKind,
     membership::{
-        BirthTime, HeartbeatVerdict, HeartbeatWatch, InstanceLife, InstanceName, UpstreamOffer,
+        HeartbeatVerdict, HeartbeatWatch, InstanceIncarnation, InstanceName, StartTime,
+        UpstreamOffer,
     },
     name::ServiceName,
 };
@@ -75,7 +76,7 @@
             });
         }
         if let Some(upstream) = self.state.upstream.borrow_mut().as_mut() {
-            upstream.heartbeats.heard(self.context.now());
+            upstream.heartbeats.note_heartbeat(self.context.now());
         }
         self.withdraw_upstream().await;
     }
@@ -195,8 +196,8 @@
         self.keep_leave(instance).await
     }
 
-    fn take_heartbeat(&self, instance: &InstanceLife, sequence: u64) -> HeartbeatVerdict {
-        let verdict = self.state.instances.borrow_mut().hear(instance, sequence);
+    fn take_heartbeat(&self, instance: &InstanceIncarnation, sequence: u64) -> HeartbeatVerdict {
+        let verdict = self.state.instances.borrow_mut().note_heartbeat(instance, sequence);
         if verdict != HeartbeatVerdict::Fresh {
             let departed = verdict == HeartbeatVerdict::Departed;
             let instance = instance.name.clone();
@@ -211,16 +212,16 @@
 
     /// The instance has left, or is about to: nothing is dispatched to it from now on. A leave that does not say of which
     /// life it is speaks of all until now.
-    pub async fn hear_leave(&self, instance: InstanceLife) -> UpstreamReceipt {
-        let until = instance.born.unwrap_or_else(|| BirthTime(wall_millis()));
-        let left = self.leave_instance(instance.clone().with_born(Some(until))).await;
+    pub async fn hear_leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
+        let until = instance.started.unwrap_or_else(|| StartTime(wall_millis()));
+        let left = self.leave_instance(instance.clone().with_started(Some(until))).await;
         // The life that was heard may say when it began where its leave does not.
         self.keep_leave(left.unwrap_or(instance)).await
     }
 
     /// Takes in a leave; returns the present life if it is that one.
-    async fn leave_instance(&self, instance: InstanceLife) -> Option<InstanceLife> {
-        let present = self.state.instances.borrow().present().cloned();
+    async fn leave_instance(&self, instance: InstanceIncarnation) -> Option<InstanceIncarnation> {
+        let present = self.state.instances.borrow().current().cloned();
         if !self.state.instances.borrow_mut().leave(&instance) {
             return None;
         }
@@ -230,8 +231,8 @@
 
     /// Acknowledges a leave once the node's row tells of it, which outlasts this node and all others. Until then the upstream
     /// gets no new work either, and asks again. A life before the present one needs no row: no restart takes it up.
-    async fn keep_leave(&self, instance: InstanceLife) -> UpstreamReceipt {
-        let present = self.state.instances.borrow().present().cloned();
+    async fn keep_leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
+        let present = self.state.instances.borrow().current().cloned();
         if present.is_some_and(|present| present != instance) {
             return UpstreamReceipt::Acknowledged;
         }
@@ -253,7 +254,7 @@
         match self.introduction.read_row().await {
             Some(UpstreamRow::Serving(announcement)) => self.resume_serving(announcement).await,
             Some(UpstreamRow::Departed { departed, born }) => {
-                self.leave_instance(InstanceLife::new(departed).with_born(born)).await;
+                self.leave_instance(InstanceIncarnation::new(departed).with_started(born)).await;
             }
             None => {}
         }
@@ -262,7 +263,7 @@
 
     async fn resume_serving(self: &Rc<Self>, announcement: UpstreamAnnouncement) {
         let Some(instance) = announcement.life() else { return };
-        let is_first = self.state.instances.borrow_mut().resume(&instance);
+        let is_first = self.state.instances.borrow_mut().restore(&instance);
         if is_first {
             self.announce_upstream(announcement).await;
         }
--- a/crates/coltsfoot-node/src/dispatch/guard/upstream_client.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/upstream_client.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use coltsfoot_wire::peer::{HeaderLine, RequestHead};
-use coltsfootroute::time::SuspensionWatch;
+use coltsfootroute::time::SuspensionDetector;
 use http::{
     HeaderMap, HeaderName, HeaderValue, Method, Request, Response, StatusCode,
     header::{CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, TRANSFER_ENCODING},
@@ -88,7 +88,7 @@
     /// time, and a call that crosses its close may have run.
     client: RefCell<OutgoingClient>,
     clock: MonotonicClock,
-    suspensions: RefCell<SuspensionWatch>,
+    suspensions: RefCell<SuspensionDetector>,
     body_limit: usize,
     dialect: UpstreamDialect,
 }
@@ -102,7 +102,7 @@
 
     /// The connections to use now.
     fn client(&self) -> OutgoingClient {
-        if self.suspensions.borrow_mut().look(self.clock.suspended()).is_some() {
+        if self.suspensions.borrow_mut().detect(self.clock.suspended()).is_some() {
             *self.client.borrow_mut() = new_client();
         }
         self.client.borrow().clone()
--- a/crates/coltsfoot-node/src/dispatch/guard/upstream_heartbeat.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/upstream_heartbeat.rs
@@ -1,6 +1,6 @@
 //! A heartbeat of the upstream beside the node.
 
-use coltsfootroute::membership::InstanceLife;
+use coltsfootroute::membership::InstanceIncarnation;
 
 use crate::dispatch::links::UpstreamAnnouncement;
 
@@ -10,7 +10,7 @@
     /// What it says of itself.
     pub announcement: UpstreamAnnouncement,
     /// Its life.
-    pub instance: InstanceLife,
+    pub instance: InstanceIncarnation,
     /// Rises with each heartbeat of a life.
     pub sequence: u64,
     /// Whether it takes no new work any more.
--- a/crates/coltsfoot-node/src/dispatch/links/introduced_upstream.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/introduced_upstream.rs
@@ -1,6 +1,6 @@
 //! The upstream that the node's rows speak of.
 
-use coltsfootroute::{membership::InstanceLife, name::ServiceName};
+use coltsfootroute::{membership::InstanceIncarnation, name::ServiceName};
 
 /// The upstream that the node's rows speak of.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -8,5 +8,5 @@
     /// Its service.
     pub service: ServiceName,
     /// Its life, if it names itself.
-    pub instance: Option<InstanceLife>,
+    pub instance: Option<InstanceIncarnation>,
 }
--- a/crates/coltsfoot-node/src/dispatch/links/introduction_desk.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/introduction_desk.rs
@@ -8,7 +8,7 @@
 };
 
 use coltsfootroute::{
-    membership::{InstanceLife, IntroductionRow, ResumeWindow},
+    membership::{InstanceIncarnation, IntroductionRow, ResumeWindow},
     name::ServiceName,
     table::{RowKey, RowWrite, TableReply, TableRequest},
 };
@@ -68,7 +68,7 @@
     pub fn new(context: Rc<NodeContext>, store: IntroductionStore, resumes: bool) -> Self {
         let mut resume = ResumeWindow::new(context.now());
         if !resumes {
-            resume.note_read();
+            resume.note_leaves_read();
         }
         let key = RowKey::new(&format!("{UPSTREAM_PREFIX}{}", context.identity.node));
         Self {
@@ -104,7 +104,7 @@
 
     /// The upstream has said itself that it leaves: the rows shall tell of that. Returns whether they do, so that no later
     /// life of this node takes the upstream up again; waits for that up to a bound.
-    pub async fn depart(&self, instance: InstanceLife) -> bool {
+    pub async fn depart(&self, instance: InstanceIncarnation) -> bool {
         if !self.resumes {
             self.retract();
             return self.settle().await;
@@ -141,7 +141,7 @@
     /// What the life before this one has written is known.
     pub fn note_resumed(&self) {
         let mut resume = self.resume.get();
-        resume.note_read();
+        resume.note_leaves_read();
         self.resume.set(resume);
         self.resumed.notify_waiters();
     }
@@ -243,7 +243,7 @@
                 Some(UpstreamRow::Serving(named.clone()))
             }
             OwnRows::Departed(life) => {
-                Some(UpstreamRow::Departed { departed: life.name.clone(), born: life.born })
+                Some(UpstreamRow::Departed { departed: life.name.clone(), born: life.started })
             }
         }
     }
--- a/crates/coltsfoot-node/src/dispatch/links/introduction_store.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/introduction_store.rs
@@ -38,20 +38,20 @@
     /// The next part of a scan of all nodes' rows.
     pub async fn scan(&self, scan: &mut IntroductionScan) -> Vec<IntroducedNode> {
         let reply = self.ask(scan.request(), StoreUse::NodeScan).await;
-        let found = scan.take(&reply);
+        let found = scan.handle_reply(&reply);
         if !found.is_empty() || !scan.is_at_start() {
             return found;
         }
         // Started behind the last row.
         let reply = self.ask(scan.request(), StoreUse::NodeScan).await;
-        scan.take(&reply)
+        scan.handle_reply(&reply)
     }
 
     /// Nodes whose rows say that their upstream is one of `service`.
     pub async fn members_of(&self, service: &ServiceName) -> Vec<IntroducedNode> {
         let mut scan = IntroductionScan::of_service(service);
         let reply = self.ask(scan.request(), StoreUse::MemberScan).await;
-        scan.take(&reply)
+        scan.handle_reply(&reply)
     }
 
     async fn ask(&self, request: TableRequest, store_use: StoreUse) -> TableReply {
--- a/crates/coltsfoot-node/src/dispatch/links/node_finder.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/node_finder.rs
@@ -55,7 +55,7 @@
     let mut pause = FIRST_SCAN_PAUSE;
     loop {
         let found = store.scan(&mut scan).await;
-        let asked = IntroductionScan::some_of_each(&mut *context.rng.borrow_mut(), &found);
+        let asked = IntroductionScan::sample_by_service(&mut *context.rng.borrow_mut(), &found);
         let nodes = found.into_iter().map(|introduced| introduced.node).collect();
         context.tell_gossip(GossipCommand::Introduce(nodes)).await;
         for of_service in asked {
--- a/crates/coltsfoot-node/src/dispatch/links/own_rows.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/own_rows.rs
@@ -1,6 +1,6 @@
 //! What a node's own rows tell.
 
-use coltsfootroute::{membership::InstanceLife, name::ServiceName};
+use coltsfootroute::{membership::InstanceIncarnation, name::ServiceName};
 
 use super::IntroducedUpstream;
 
@@ -13,7 +13,7 @@
     /// The upstream is there.
     Serving(IntroducedUpstream),
     /// The upstream has said itself that it leaves.
-    Departed(InstanceLife),
+    Departed(InstanceIncarnation),
 }
 
 impl OwnRows {
@@ -26,7 +26,7 @@
     }
 
     /// Whether the leave of this life, or of a later one of its name, is told.
-    pub(super) fn tells_of_leave(&self, life: &InstanceLife) -> bool {
-        matches!(self, Self::Departed(told) if told.name == life.name && life.born <= told.born)
+    pub(super) fn tells_of_leave(&self, life: &InstanceIncarnation) -> bool {
+        matches!(self, Self::Departed(told) if told.name == life.name && life.started <= told.started)
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/links/upstream_announcement.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/upstream_announcement.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use coltsfootroute::{
-    membership::{BirthTime, InstanceLife, InstanceName},
+    membership::{InstanceIncarnation, InstanceName, StartTime},
     name::ServiceName,
 };
 
@@ -18,7 +18,7 @@
     pub instance: Option<InstanceName>,
     /// When it started, if it says so.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub born: Option<BirthTime>,
+    pub born: Option<StartTime>,
     /// Where it takes calls.
     pub address: SocketAddr,
     /// Calls it can work on at once; at least 1.
@@ -29,8 +29,8 @@
 
 impl UpstreamAnnouncement {
     /// The life that announces itself, if it has a name.
-    pub fn life(&self) -> Option<InstanceLife> {
+    pub fn life(&self) -> Option<InstanceIncarnation> {
         let name = self.instance.clone()?;
-        Some(InstanceLife::new(name).with_born(self.born))
+        Some(InstanceIncarnation::new(name).with_started(self.born))
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/links/upstream_row.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/upstream_row.rs
@@ -1,6 +1,6 @@
 //! The row by which a node finds its upstream again after a restart.
 
-use coltsfootroute::membership::{BirthTime, InstanceName};
+use coltsfootroute::membership::{InstanceName, StartTime};
 
 use super::UpstreamAnnouncement;
 
@@ -16,6 +16,6 @@
         departed: InstanceName,
         /// When the life that has left began, if it said so.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        born: Option<BirthTime>,
+        born: Option<StartTime>,
     },
 }
--- a/crates/coltsfoot-node/src/gossip/gossip_thread.rs
+++ b/crates/coltsfoot-node/src/gossip/gossip_thread.rs
@@ -196,15 +196,15 @@
                 Vec::new()
             }
             GossipCommand::Touch(service) => {
-                self.engine.touch(now, service.as_str());
+                self.engine.note_use(now, service.as_str());
                 Vec::new()
             }
             GossipCommand::Reached(service) => {
-                self.engine.note_reached(now, service.as_str());
+                self.engine.note_call_reached(now, service.as_str());
                 Vec::new()
             }
             GossipCommand::Unreached(service) => {
-                self.engine.note_unreached(now, service.as_str());
+                self.engine.note_call_unreachable(now, service.as_str());
                 Vec::new()
             }
             GossipCommand::SetRevision(revision) => {
@@ -219,7 +219,7 @@
                 self.engine.introduce(now, nodes);
                 Vec::new()
             }
-            GossipCommand::Ask(nodes) => self.engine.ask(now, &mut self.rng, nodes),
+            GossipCommand::Ask(nodes) => self.engine.ping_nodes(now, &mut self.rng, nodes),
             GossipCommand::Status(reply) => {
                 // The asker may have gone away; nothing is owed to it then.
                 let _ = reply.send(self.engine.status());
--- a/crates/coltsfoot-slopes/src/mesh/gossip_mesh.rs
+++ b/crates/coltsfoot-slopes/src/mesh/gossip_mesh.rs
@@ -229,7 +229,7 @@
     pub fn touch_all(&mut self) {
         for node in self.nodes.iter_mut().filter(|node| node.is_up) {
             for service in &node.watched {
-                node.engine.touch(self.now, service.as_str());
+                node.engine.note_use(self.now, service.as_str());
             }
         }
     }
--- a/crates/coltsfootroute/src/id/incarnation.rs
+++ b/crates/coltsfootroute/src/id/incarnation.rs
@@ -11,16 +11,16 @@
 impl Incarnation {
     /// Least distance between two lives. No process starts, joins and starts again within so many
     /// milliseconds, and refutations raise an incarnation by one only.
-    const LEAST_LIFE_MS: u64 = 100;
+    const MIN_INSTANCE_DISTANCE_MS: u64 = 100;
 
     /// The lowest incarnation of a life after this one.
-    pub fn next_life(self) -> Self {
-        Self(self.0.saturating_add(Self::LEAST_LIFE_MS))
+    pub fn next_instance(self) -> Self {
+        Self(self.0.saturating_add(Self::MIN_INSTANCE_DISTANCE_MS))
     }
 
     /// Whether this is of a later life than `earlier`, rather than a refutation in the same life.
-    pub fn is_later_life(self, earlier: Self) -> bool {
-        self >= earlier.next_life()
+    pub fn is_later_instance(self, earlier: Self) -> bool {
+        self >= earlier.next_instance()
     }
 
     /// The next higher incarnation.
--- a/crates/coltsfootroute/src/membership/bandwidth_budget.rs
+++ b/crates/coltsfootroute/src/membership/bandwidth_budget.rs
@@ -18,17 +18,17 @@
     burst: u64,
     /// Invariant: at most `burst`, or what is left of the content at the start.
     available: u64,
-    refilled: MonotonicTime,
+    refilled_at: MonotonicTime,
 }
 
 impl BandwidthBudget {
     /// A full bucket of `burst` bytes that gains `rate` bytes a second.
     pub fn new(rate: u64, burst: u64, now: MonotonicTime) -> Self {
-        Self { rate, burst, available: burst, refilled: now }
+        Self { rate, burst, available: burst, refilled_at: now }
     }
 
     /// Takes `bytes` for a send of `priority`; false if they have to wait for higher ones.
-    pub fn try_take(&mut self, now: MonotonicTime, priority: SendPriority, bytes: u64) -> bool {
+    pub fn try_acquire(&mut self, now: MonotonicTime, priority: SendPriority, bytes: u64) -> bool {
         self.refill(now);
         let reserve = self.burst * reserve_percent(priority) / 100;
         if self.available < bytes + reserve {
@@ -39,7 +39,7 @@
     }
 
     /// Lets `bytes` go out at once after the start, if these are more.
-    pub fn with_start(self, bytes: u64) -> Self {
+    pub fn with_initial_bytes(self, bytes: u64) -> Self {
         Self { available: self.available.max(bytes), ..self }
     }
 
@@ -49,14 +49,14 @@
     }
 
     fn refill(&mut self, now: MonotonicTime) {
-        let elapsed = now.0.saturating_sub(self.refilled.0);
+        let elapsed = now.0.saturating_sub(self.refilled_at.0);
         let gained = elapsed.saturating_mul(self.rate) / MICROS_PER_SECOND;
         if gained == 0 {
             return;
         }
         let refilled = self.burst.min(self.available.saturating_add(gained));
         self.available = self.available.max(refilled);
-        self.refilled = now;
+        self.refilled_at = now;
     }
 }
 
--- a/crates/coltsfootroute/src/membership/gossip_engine.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine.rs
@@ -1,9 +1,9 @@
 //! The gossip of one node.
 
-mod absorbing;
 mod announcing;
 mod answering;
 mod joining;
+mod merging;
 mod pending_ping;
 mod probe_round;
 mod probing;
@@ -39,8 +39,8 @@
 pub struct GossipEngine {
     settings: GossipSettings,
     /// What this node says of itself. Invariant: its incarnation never falls.
-    me: MemberRecord,
-    /// The own group and the watched ones. Invariant: the own group holds `me`.
+    own_record: MemberRecord,
+    /// The own group and the watched ones. Invariant: the own group holds `own_record`.
     groups: IndexMap<ServiceName, GroupView>,
     /// One for each group.
     watches: IndexMap<ServiceName, WatchState>,
@@ -54,12 +54,12 @@
     probe_order: Vec<NodeId>,
     probe_due: MonotonicTime,
     dead_probe_due: MonotonicTime,
-    cross_due: MonotonicTime,
+    cross_ping_due: MonotonicTime,
     prune_due: MonotonicTime,
     /// Suspected members of the own group, with the life that is suspected and the time of the verdict.
     suspicions: IndexMap<NodeId, (Incarnation, MonotonicTime)>,
     /// Probes failed lately, less those answered: a node that hears nobody doubts itself first.
-    doubt: u32,
+    health_score: u32,
     leave_repeats: u32,
     leave_due: MonotonicTime,
     budget: BandwidthBudget,
@@ -67,7 +67,7 @@
     outbox: VecDeque<(NodeId, GossipMessage)>,
     revision: u64,
     /// Who was last reported to be ahead, with its revision.
-    behind_noted: Option<(NodeId, u64, MonotonicTime)>,
+    last_ahead_report: Option<(NodeId, u64, MonotonicTime)>,
     /// Digest of the requests that this node holds back.
     quarantine: u64,
     /// When a peer with another digest may be told of again.
@@ -78,21 +78,27 @@
 }
 
 impl GossipEngine {
-    /// A node that knows the peers of its settings; `me` says who it is. Whatever upstream it names is
+    /// A node that knows the peers of its settings; `own_record` says who it is. Whatever upstream it names is
     /// left out: that is for [`announce`](Self::announce).
-    pub fn new(settings: GossipSettings, me: MemberRecord, now: MonotonicTime) -> Self {
+    pub fn new(settings: GossipSettings, own_record: MemberRecord, now: MonotonicTime) -> Self {
         let budget = BandwidthBudget::new(settings.bytes_per_second, settings.burst_bytes, now)
-            .with_start(settings.start_bytes);
+            .with_initial_bytes(settings.start_bytes);
         let seeds = SeedTable::new(
             settings.seeds_per_service,
             settings.max_seed_services,
             settings.seed_max_age,
         );
-        let contacts = settings.peers.iter().copied().filter(|peer| *peer != me.node).collect();
+        let contacts =
+            settings.peers.iter().copied().filter(|peer| *peer != own_record.node).collect();
         Self {
             pullers: PullerTable::new(settings.max_pullers),
             settings,
-            me: MemberRecord::new(me.node, me.incarnation, me.domain, me.region),
+            own_record: MemberRecord::new(
+                own_record.node,
+                own_record.incarnation,
+                own_record.domain,
+                own_record.region,
+            ),
             groups: IndexMap::new(),
             watches: IndexMap::new(),
             seeds,
@@ -104,17 +110,17 @@
             probe_order: Vec::new(),
             probe_due: now,
             dead_probe_due: now,
-            cross_due: now,
+            cross_ping_due: now,
             prune_due: now,
             suspicions: IndexMap::new(),
-            doubt: 0,
+            health_score: 0,
             leave_repeats: 0,
             leave_due: now,
             budget,
             counters: GossipCounters::default(),
             outbox: VecDeque::new(),
             revision: 0,
-            behind_noted: None,
+            last_ahead_report: None,
             quarantine: 0,
             quarantine_due: now,
             joined: false,
@@ -125,7 +131,7 @@
 
     /// Does what is due.
     pub fn tick(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<GossipEffect> {
-        self.notice_pause(now, rng);
+        self.detect_pause(now, rng);
         self.drain_outbox(now);
         self.expire_pings(now);
         self.join(now, rng);
@@ -133,7 +139,7 @@
         self.probe_dead(now, rng);
         self.expire_suspicions(now, rng);
         self.pull_watched(now, rng);
-        self.ping_across(now, rng);
+        self.ping_other_group(now, rng);
         self.repeat_leave(now, rng);
         self.prune(now);
         self.last_tick = now;
@@ -148,11 +154,11 @@
         from: NodeId,
         message: GossipMessage,
     ) -> Vec<GossipEffect> {
-        if from != self.me.node {
+        if from != self.own_record.node {
             self.note_revision(now, from, message.revision);
             self.note_quarantine(now, from, message.quarantine);
-            self.absorb_all(now, rng, from, &message);
-            self.answer(now, rng, from, message);
+            self.merge_updates(now, rng, from, &message);
+            self.handle_payload(now, rng, from, message);
         }
         std::mem::take(&mut self.effects)
     }
@@ -189,14 +195,14 @@
 
     /// What this node says of itself.
     pub fn own_record(&self) -> &MemberRecord {
-        &self.me
+        &self.own_record
     }
 
     /// Summary for operators.
     pub fn status(&self) -> MembershipStatus {
         let mut status = MembershipStatus {
             joined: self.joined,
-            incarnation: self.me.incarnation,
+            incarnation: self.own_record.incarnation,
             groups: self.groups.len(),
             alive: 0,
             suspect: 0,
@@ -213,17 +219,17 @@
 
     /// The group that this node is of, if its upstream has announced itself.
     fn own_group(&self) -> Option<&GroupView> {
-        self.groups.get(self.me.service.as_ref()?)
+        self.groups.get(self.own_record.service.as_ref()?)
     }
 
     /// Whether this node is a present member of `service`.
     fn is_member_of(&self, service: &ServiceName) -> bool {
-        self.me.state.is_live() && self.me.service.as_ref() == Some(service)
+        self.own_record.state.is_live() && self.own_record.service.as_ref() == Some(service)
     }
 
     /// Whether this node probes its group.
     fn is_member(&self) -> bool {
-        self.me.state.is_live() && self.me.service.is_some()
+        self.own_record.state.is_live() && self.own_record.service.is_some()
     }
 
     fn prune(&mut self, now: MonotonicTime) {
--- a/crates/coltsfootroute/src/membership/gossip_engine/announcing.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/announcing.rs
@@ -22,32 +22,32 @@
         rng: &mut impl Rng,
         offer: UpstreamOffer,
     ) -> Vec<GossipEffect> {
-        if self.offers(&offer) {
+        if self.has_announced(&offer) {
             return Vec::new();
         }
-        if self.me.service.as_ref() != Some(&offer.service) {
-            self.end_own_membership(now, rng);
-            self.hold(now, rng, offer.service.clone());
+        if self.own_record.service.as_ref() != Some(&offer.service) {
+            self.leave_own_group(now, rng);
+            self.track_group(now, rng, offer.service.clone());
         }
         self.leave_repeats = 0;
-        if self.me.state == MemberState::Left {
+        if self.own_record.state == MemberState::Left {
             // Callers never choose an upstream again in the life that it left in.
-            self.me.incarnation = self.me.incarnation.next_life();
+            self.own_record.incarnation = self.own_record.incarnation.next_instance();
         }
-        self.me.service = Some(offer.service);
-        self.me.slots = offer.slots;
-        self.me.connections = offer.connections;
-        self.me.state = MemberState::Alive;
-        self.take_up_group(now);
-        self.reincarnate(now, self.me.incarnation);
-        self.push_eagerly(now, rng, self.me.node, self.settings.eager_fanout, false);
+        self.own_record.service = Some(offer.service);
+        self.own_record.slots = offer.slots;
+        self.own_record.connections = offer.connections;
+        self.own_record.state = MemberState::Alive;
+        self.resume_monitoring(now);
+        self.reincarnate(now, self.own_record.incarnation);
+        self.push_eagerly(now, rng, self.own_record.node, self.settings.eager_fanout, false);
         std::mem::take(&mut self.effects)
     }
 
     /// The upstream takes no new work: told at once to several members and the recent watchers, and
     /// repeated a few times. The node goes on as a watcher.
     pub fn leave(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<GossipEffect> {
-        self.end_own_membership(now, rng);
+        self.leave_own_group(now, rng);
         std::mem::take(&mut self.effects)
     }
 
@@ -60,40 +60,40 @@
         services: impl IntoIterator<Item = ServiceName>,
     ) {
         let wanted: IndexSet<ServiceName> = services.into_iter().collect();
-        let own = self.me.service.clone();
+        let own = self.own_record.service.clone();
         let dropped = self
             .groups
             .keys()
             .filter(|service| !wanted.contains(*service) && own.as_ref() != Some(*service));
         for service in dropped.cloned().collect::<Vec<_>>() {
-            self.release(now, rng, &service);
+            self.untrack_group(now, rng, &service);
         }
         for service in wanted {
-            self.hold(now, rng, service.clone());
-            self.touch(now, service.as_str());
+            self.track_group(now, rng, service.clone());
+            self.note_use(now, service.as_str());
         }
     }
 
     /// Notes that a watched service is being called; a cold one is pulled at once.
-    pub fn touch(&mut self, now: MonotonicTime, service: &str) {
+    pub fn note_use(&mut self, now: MonotonicTime, service: &str) {
         let Some(watch) = self.watches.get_mut(service) else { return };
-        if now.since(watch.used) >= self.settings.cold_after {
+        if now.since(watch.last_used) >= self.settings.cold_after {
             watch.due = watch.due.min(now);
         }
-        watch.used = now;
+        watch.last_used = now;
     }
 
     /// Notes that a call has reached a member of a watched service: it is there, however little it gossips.
-    pub fn note_reached(&mut self, now: MonotonicTime, service: &str) {
+    pub fn note_call_reached(&mut self, now: MonotonicTime, service: &str) {
         if let Some(watch) = self.watches.get_mut(service) {
-            watch.reached = Some(now);
+            watch.last_reached = Some(now);
         }
     }
 
     /// Notes that a call could not reach the member of a watched service that it was for.
-    pub fn note_unreached(&mut self, now: MonotonicTime, service: &str) {
+    pub fn note_call_unreachable(&mut self, now: MonotonicTime, service: &str) {
         if let Some(watch) = self.watches.get_mut(service) {
-            watch.unreached = Some(now);
+            watch.last_unreachable = Some(now);
         }
     }
 
@@ -105,31 +105,31 @@
         self.leave_repeats -= 1;
         self.leave_due = now + self.settings.leave_interval;
         let fanout = self.settings.eager_fanout * OWN_LEAVE_FACTOR;
-        self.push_eagerly(now, rng, self.me.node, fanout, false);
+        self.push_eagerly(now, rng, self.own_record.node, fanout, false);
     }
 
-    fn offers(&self, offer: &UpstreamOffer) -> bool {
-        let me = &self.me;
-        let same_size = me.slots == offer.slots && me.connections == offer.connections;
+    fn has_announced(&self, offer: &UpstreamOffer) -> bool {
+        let own = &self.own_record;
+        let same_size = own.slots == offer.slots && own.connections == offer.connections;
         self.is_member_of(&offer.service) && same_size
     }
 
-    fn end_own_membership(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
+    fn leave_own_group(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         if !self.is_member() {
             return;
         }
-        self.me.state = MemberState::Left;
+        self.own_record.state = MemberState::Left;
         self.round = None;
         self.suspicions.clear();
         self.publish_self(now);
         let fanout = self.settings.eager_fanout * OWN_LEAVE_FACTOR;
-        self.push_eagerly(now, rng, self.me.node, fanout, true);
+        self.push_eagerly(now, rng, self.own_record.node, fanout, true);
         self.leave_repeats = self.settings.leave_rounds;
         self.leave_due = now + self.settings.leave_interval;
     }
 
     /// Begins to hold a group in detail, from its entry points.
-    fn hold(&mut self, now: MonotonicTime, rng: &mut impl Rng, service: ServiceName) {
+    fn track_group(&mut self, now: MonotonicTime, rng: &mut impl Rng, service: ServiceName) {
         if self.groups.contains_key(&service) {
             return;
         }
@@ -137,13 +137,13 @@
         let group = GroupView::new(settings.max_members, settings.tombstone_retention);
         self.groups.insert(service.clone(), group);
         self.watches.insert(service.clone(), WatchState::new(now));
-        for seed in self.seeds.take(now, &service) {
-            self.absorb(now, rng, seed, false);
+        for seed in self.seeds.remove_service(now, &service) {
+            self.merge_update(now, rng, seed, false);
         }
     }
 
     /// Stops holding a group, but for some entry points.
-    fn release(&mut self, now: MonotonicTime, rng: &mut impl Rng, service: &ServiceName) {
+    fn untrack_group(&mut self, now: MonotonicTime, rng: &mut impl Rng, service: &ServiceName) {
         let seeds = self.seeds_of(now, rng, service);
         self.groups.swap_remove(service);
         self.watches.swap_remove(service);
--- a/crates/coltsfootroute/src/membership/gossip_engine/answering.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/answering.rs
@@ -13,7 +13,7 @@
 
 impl GossipEngine {
     /// Does what the message asks.
-    pub(super) fn answer(
+    pub(super) fn handle_payload(
         &mut self,
         now: MonotonicTime,
         rng: &mut impl Rng,
@@ -32,18 +32,18 @@
             GossipPayload::Pull { service, digest } => {
                 self.answer_pull(now, rng, from, service, digest);
             }
-            GossipPayload::PullMatch { service } => self.take_match(now, &service),
+            GossipPayload::PullMatch { service } => self.handle_match(now, &service),
             GossipPayload::PullBuckets { service, digests } => {
-                self.take_buckets(now, rng, from, service, &digests);
+                self.handle_buckets(now, rng, from, service, &digests);
             }
             GossipPayload::PullRecords { service, bucket_count, wanted } => {
                 self.answer_records(now, from, &service, bucket_count, wanted);
             }
             GossipPayload::Records { service, bucket_count, complete } => {
-                self.take_records(now, from, &service, bucket_count, &complete, &message.updates);
+                self.handle_records(now, from, &service, bucket_count, &complete, &message.updates);
             }
             GossipPayload::Seeds { service } => {
-                self.take_seeds(now, &service, !message.updates.is_empty());
+                self.handle_seeds(now, &service, !message.updates.is_empty());
             }
             GossipPayload::Push => {}
         }
@@ -58,7 +58,7 @@
         sequence: u64,
         updates: &[MemberUpdate],
     ) {
-        let payload = GossipPayload::Ack { sequence, target: self.me.node };
+        let payload = GossipPayload::Ack { sequence, target: self.own_record.node };
         let mut ack = self.message_to(now, rng, from, payload);
         let sender = updates.iter().find(|update| update.record.node == from);
         let service = sender.and_then(|update| update.record.service.clone());
@@ -102,7 +102,7 @@
     ) {
         let seeds = self.seeds_of(now, rng, &service);
         let mut message = GossipMessage::new(self.revision, GossipPayload::Seeds { service });
-        message.fill([MemberUpdate::new(self.me.clone())]);
+        message.fill([MemberUpdate::new(self.own_record.clone())]);
         message.fill(seeds);
         self.send(now, SendPriority::Low, from, message);
     }
--- a/crates/coltsfootroute/src/membership/gossip_engine/joining.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/joining.rs
@@ -16,36 +16,36 @@
 /// Most addresses kept from settings and introductions.
 const MAX_CONTACTS: usize = 64;
 /// One in this many pings beyond the group goes to an address from settings or an introduction.
-const CONTACT_SHARE: u32 = 4;
+const CONTACT_PING_PERIOD: u32 = 4;
 /// Shortest time between two reports of the same higher revision.
-const BEHIND_INTERVAL: Duration = Duration::from_millis(500);
+const AHEAD_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Pause between two peers that are asked for what they hold back: while a case spreads many differ for a moment.
-const QUARANTINE_PAUSE: Duration = Duration::from_millis(200);
+const QUARANTINE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl GossipEngine {
     /// Adds addresses of nodes, read from elsewhere, to ask.
     pub fn introduce(&mut self, now: MonotonicTime, nodes: impl IntoIterator<Item = NodeId>) {
-        for node in nodes.into_iter().filter(|node| *node != self.me.node) {
+        for node in nodes.into_iter().filter(|node| *node != self.own_record.node) {
             self.contacts.shift_remove(&node);
             if self.contacts.len() >= MAX_CONTACTS {
                 self.contacts.shift_remove_index(0);
             }
             self.contacts.insert(node);
         }
-        self.cross_due = now;
+        self.cross_ping_due = now;
     }
 
     /// Asks some of `nodes` who they are, whether or not others have answered: each acknowledgement brings the
     /// record of its sender.
-    pub fn ask(
+    pub fn ping_nodes(
         &mut self,
         now: MonotonicTime,
         rng: &mut impl Rng,
         nodes: impl IntoIterator<Item = NodeId>,
     ) -> Vec<GossipEffect> {
-        let me = self.me.node;
-        let others = nodes.into_iter().filter(|node| *node != me);
+        let own_node = self.own_record.node;
+        let others = nodes.into_iter().filter(|node| *node != own_node);
         for node in others.sample(rng, JOIN_FANOUT) {
             self.ping(now, rng, node, PingPurpose::Join, SendPriority::High);
         }
@@ -54,10 +54,10 @@
 
     /// Asks several contacts at once until one has answered.
     pub(super) fn join(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
-        if self.joined || now < self.cross_due {
+        if self.joined || now < self.cross_ping_due {
             return;
         }
-        self.cross_due = now + self.settings.probe_interval;
+        self.cross_ping_due = now + self.settings.probe_interval;
         for contact in self.contacts.iter().copied().sample(rng, JOIN_FANOUT) {
             self.ping(now, rng, contact, PingPurpose::Join, SendPriority::High);
         }
@@ -72,13 +72,13 @@
     }
 
     /// Pings a random node outside the own group: carries entry points and the revision.
-    pub(super) fn ping_across(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
-        if now < self.cross_due {
+    pub(super) fn ping_other_group(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
+        if now < self.cross_ping_due {
             return;
         }
-        let Some(target) = self.cross_target(now, rng) else { return };
-        if self.ping(now, rng, target, PingPurpose::Cross, SendPriority::Low) {
-            self.cross_due = now + jittered(rng, self.settings.cross_interval);
+        let Some(target) = self.cross_group_target(now, rng) else { return };
+        if self.ping(now, rng, target, PingPurpose::CrossGroup, SendPriority::Low) {
+            self.cross_ping_due = now + jittered(rng, self.settings.cross_group_interval);
         }
     }
 
@@ -87,11 +87,11 @@
         if revision <= self.revision {
             return;
         }
-        let noted = self.behind_noted.is_some_and(|(noted_peer, noted, at)| {
-            noted_peer == peer && noted >= revision && now.since(at) < BEHIND_INTERVAL
+        let noted = self.last_ahead_report.is_some_and(|(noted_peer, noted, at)| {
+            noted_peer == peer && noted >= revision && now.since(at) < AHEAD_REPORT_INTERVAL
         });
         if !noted {
-            self.behind_noted = Some((peer, revision, now));
+            self.last_ahead_report = Some((peer, revision, now));
             self.effects.push(GossipEffect::RevisionBehind { peer, revision });
         }
     }
@@ -101,19 +101,23 @@
         if digest == self.quarantine || digest == 0 || now < self.quarantine_due {
             return;
         }
-        self.quarantine_due = now + QUARANTINE_PAUSE;
+        self.quarantine_due = now + QUARANTINE_REPORT_INTERVAL;
         self.effects.push(GossipEffect::QuarantineDiffers { peer });
     }
 
     /// A node outside the own group; also the last resort of a pull.
-    pub(super) fn cross_target(&self, now: MonotonicTime, rng: &mut impl Rng) -> Option<NodeId> {
+    pub(super) fn cross_group_target(
+        &self,
+        now: MonotonicTime,
+        rng: &mut impl Rng,
+    ) -> Option<NodeId> {
         let seed = self.seeds.sample(now, rng, 1).pop().map(|update| update.record.node);
         let contact = self.contacts.iter().copied().choose(rng);
         let member = self.groups.values().flat_map(GroupView::live).choose(rng);
         let known = seed.or(member.map(|record| record.node));
-        let from_contacts = rng.random_range(0..CONTACT_SHARE) == 0;
+        let from_contacts = rng.random_range(0..CONTACT_PING_PERIOD) == 0;
         let target = if from_contacts { contact.or(known) } else { known.or(contact) };
-        target.filter(|node| *node != self.me.node)
+        target.filter(|node| *node != self.own_record.node)
     }
 }
 
--- a/crates/coltsfootroute/src/membership/gossip_engine/absorbing.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/merging.rs
@@ -15,7 +15,7 @@
 
 impl GossipEngine {
     /// Takes in all records of a message; tells the sender what it got wrong.
-    pub(super) fn absorb_all(
+    pub(super) fn merge_updates(
         &mut self,
         now: MonotonicTime,
         rng: &mut impl Rng,
@@ -23,20 +23,20 @@
         message: &GossipMessage,
     ) {
         let from_group = matches!(message.payload, GossipPayload::Records { .. });
-        let corrects = from_group || message.payload == GossipPayload::Push;
+        let sends_corrections = from_group || message.payload == GossipPayload::Push;
         let mut corrections = Vec::new();
         for update in &message.updates {
             let is_own = update.record.node == from;
             let was_member = self.is_live_member(from);
-            let stale = self.absorb(now, rng, update.clone(), is_own || from_group);
+            let stale = self.merge_update(now, rng, update.clone(), is_own || from_group);
             if is_own && !was_member && self.is_live_member(from) {
                 self.push_to_watchers(now, from);
             }
-            if stale && (corrects || update.record.node == from) {
+            if stale && (sends_corrections || update.record.node == from) {
                 corrections.extend(self.known_update(now, &update.record));
             }
         }
-        self.correct(now, from, corrections);
+        self.send_corrections(now, from, corrections);
     }
 
     /// Whether `node` is a live member of the own group.
@@ -45,27 +45,27 @@
         record.is_some_and(|record| record.state.is_live())
     }
 
-    /// Takes in one record, `vouched` for by its subject or group; returns whether a newer one is
+    /// Takes in one record, `authoritative` for by its subject or group; returns whether a newer one is
     /// known here.
-    pub(super) fn absorb(
+    pub(super) fn merge_update(
         &mut self,
         now: MonotonicTime,
         rng: &mut impl Rng,
         update: MemberUpdate,
-        vouched: bool,
+        authoritative: bool,
     ) -> bool {
-        if update.record.node == self.me.node {
-            self.absorb_self(now, &update.record);
+        if update.record.node == self.own_record.node {
+            self.refute_if_contradicted(now, &update.record);
             return false;
         }
-        self.end_membership_elsewhere(now, rng, &update.record);
+        self.end_earlier_membership(now, rng, &update.record);
         let Some(service) = update.record.service.clone() else { return false };
         let Some(group) = self.groups.get_mut(&service) else {
             self.seeds.offer(now, rng, update);
             return false;
         };
         let record = update.record.clone();
-        match group.merge(now, update, vouched) {
+        match group.merge(now, update, authoritative) {
             MergeOutcome::Changed(before) => {
                 self.note_change(now, rng, &service, before, &record);
                 false
@@ -76,7 +76,12 @@
     }
 
     /// Sends records that the receiver lacks or has older.
-    pub(super) fn correct(&mut self, now: MonotonicTime, to: NodeId, updates: Vec<MemberUpdate>) {
+    pub(super) fn send_corrections(
+        &mut self,
+        now: MonotonicTime,
+        to: NodeId,
+        updates: Vec<MemberUpdate>,
+    ) {
         if updates.is_empty() {
             return;
         }
@@ -87,32 +92,33 @@
 
     /// Rises above `incarnation` and says so.
     pub(super) fn reincarnate(&mut self, now: MonotonicTime, incarnation: Incarnation) {
-        self.me.incarnation = self.me.incarnation.max(incarnation).next();
-        self.effects.push(GossipEffect::Reincarnated { incarnation: self.me.incarnation });
+        self.own_record.incarnation = self.own_record.incarnation.max(incarnation).next();
+        self.effects.push(GossipEffect::Reincarnated { incarnation: self.own_record.incarnation });
         self.publish_self(now);
     }
 
     /// Puts the own record into the own group and spreads it.
     pub(super) fn publish_self(&mut self, now: MonotonicTime) {
-        let Some(service) = self.me.service.clone() else { return };
+        let Some(service) = self.own_record.service.clone() else { return };
         let Some(group) = self.groups.get_mut(&service) else { return };
-        group.merge(now, MemberUpdate::new(self.me.clone()), true);
-        self.updates.push(self.me.node);
+        group.merge(now, MemberUpdate::new(self.own_record.clone()), true);
+        self.updates.push(self.own_record.node);
         self.effects.push(GossipEffect::Changed { service });
     }
 
     /// Refutes what is said of this node, if it would stand against what the node says itself.
-    fn absorb_self(&mut self, now: MonotonicTime, said: &MemberRecord) {
-        let same_life = said.incarnation == self.me.incarnation;
-        let same_content = said.service == self.me.service && said.state <= self.me.state;
-        let harmless = said.incarnation < self.me.incarnation || (same_life && same_content);
-        if !harmless {
+    fn refute_if_contradicted(&mut self, now: MonotonicTime, said: &MemberRecord) {
+        let same_life = said.incarnation == self.own_record.incarnation;
+        let same_content =
+            said.service == self.own_record.service && said.state <= self.own_record.state;
+        let agrees = said.incarnation < self.own_record.incarnation || (same_life && same_content);
+        if !agrees {
             self.reincarnate(now, said.incarnation);
         }
     }
 
     /// A later life in another group, or in none, ends the membership of the earlier one.
-    fn end_membership_elsewhere(
+    fn end_earlier_membership(
         &mut self,
         now: MonotonicTime,
         rng: &mut impl Rng,
@@ -150,7 +156,7 @@
     ) {
         self.effects.push(GossipEffect::Changed { service: service.clone() });
         self.effects.extend(change_event(service, before, record));
-        if self.me.service.as_ref() != Some(service) {
+        if self.own_record.service.as_ref() != Some(service) {
             return;
         }
         if before.is_none() && !record.state.is_live() {
@@ -169,10 +175,10 @@
 
     /// Becomes responsible for what is said of the group: hidden members are probed again, and old
     /// suspicions run out.
-    pub(super) fn take_up_group(&mut self, now: MonotonicTime) {
-        let service = self.me.service.as_ref();
+    pub(super) fn resume_monitoring(&mut self, now: MonotonicTime) {
+        let service = self.own_record.service.as_ref();
         let Some(group) = service.and_then(|service| self.groups.get_mut(service)) else { return };
-        group.reveal(now);
+        group.unhide_all(now);
         let suspects = group.live().filter(|record| record.state == MemberState::Suspect);
         for suspect in suspects.cloned().collect::<Vec<_>>() {
             self.time_suspicion(now, &suspect);
@@ -194,7 +200,7 @@
         if !found_first || !record.state.is_live() {
             return;
         }
-        let service = self.me.service.as_ref();
+        let service = self.own_record.service.as_ref();
         if let Some(watch) = service.and_then(|service| self.watches.get_mut(service)) {
             watch.due = now;
         }
--- a/crates/coltsfootroute/src/membership/gossip_engine/pending_ping.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/pending_ping.rs
@@ -8,7 +8,7 @@
         /// To find any other node at all.
         Join,
         /// To a random node of another group.
-        Cross,
+        CrossGroup,
         /// To a dead member, which may have come back.
         DeadProbe,
         /// To the member of the current probe.
--- a/crates/coltsfootroute/src/membership/gossip_engine/probe_round.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/probe_round.rs
@@ -12,7 +12,7 @@
         /// When others are asked.
         pub(super) indirect_at: MonotonicTime,
         /// Whether they were.
-        pub(super) indirect_asked: bool,
+        pub(super) indirect_sent: bool,
         /// When the member becomes suspect.
         pub(super) verdict_at: MonotonicTime,
     }
--- a/crates/coltsfootroute/src/membership/gossip_engine/probing.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/probing.rs
@@ -21,8 +21,8 @@
     time::MonotonicTime,
 };
 
-/// Bound of [`GossipEngine::doubt`].
-const MAX_DOUBT: u32 = 3;
+/// Bound of [`GossipEngine::health_score`].
+const MAX_HEALTH_SCORE: u32 = 3;
 /// Most pings that wait at once; further relays are refused.
 const MAX_PENDING_PINGS: usize = 256;
 
@@ -63,7 +63,7 @@
             PingPurpose::Relay { requester, sequence } => {
                 self.relay_ack(now, requester, sequence, target)
             }
-            PingPurpose::Join | PingPurpose::Cross | PingPurpose::DeadProbe => {}
+            PingPurpose::Join | PingPurpose::CrossGroup | PingPurpose::DeadProbe => {}
         }
     }
 
@@ -77,7 +77,7 @@
             .collect();
         for (sequence, ping) in expired {
             self.pings.swap_remove(&sequence);
-            if ping.purpose == PingPurpose::Cross {
+            if ping.purpose == PingPurpose::CrossGroup {
                 self.seeds.remove(ping.target);
             }
         }
@@ -87,8 +87,8 @@
     pub(super) fn advance_probe(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         match self.round {
             Some(round) if now >= round.verdict_at => self.fail_probe(now, rng, round),
-            Some(round) if now >= round.indirect_at && !round.indirect_asked => {
-                self.ask_others(now, rng, round);
+            Some(round) if now >= round.indirect_at && !round.indirect_sent => {
+                self.send_indirect_probes(now, rng, round);
             }
             _ => {}
         }
@@ -129,7 +129,7 @@
                 .filter(|record| record.incarnation == incarnation)
                 .map(|record| record.with_state(MemberState::Dead));
             if let Some(dead) = dead {
-                self.absorb(now, rng, MemberUpdate::new(dead), true);
+                self.merge_update(now, rng, MemberUpdate::new(dead), true);
             }
         }
     }
@@ -139,12 +139,12 @@
         let members = self.own_group().map_or(1, GroupView::live_count);
         let scale = (members as f64).log10().max(1.0);
         let timeout = self.settings.probe_interval * self.settings.suspicion_rounds;
-        timeout.mul_f64(scale) * (1 + self.doubt)
+        timeout.mul_f64(scale) * (1 + self.health_score)
     }
 
     /// A gap between ticks means that this process stood still: no verdict about others, a new
     /// incarnation for itself, and fresh knowledge before anything else.
-    pub(super) fn notice_pause(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
+    pub(super) fn detect_pause(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         let gap = now.since(self.last_tick);
         if gap < self.settings.pause_gap {
             return;
@@ -158,13 +158,13 @@
         }
         for watch in self.watches.values_mut() {
             watch.due = now;
-            watch.waiting = None;
+            watch.pending = None;
             watch.silent.clear();
-            watch.answered = now;
+            watch.last_answer = now;
         }
         if self.is_member() {
-            self.reincarnate(now, self.me.incarnation);
-            self.push_eagerly(now, rng, self.me.node, self.settings.eager_fanout, false);
+            self.reincarnate(now, self.own_record.incarnation);
+            self.push_eagerly(now, rng, self.own_record.node, self.settings.eager_fanout, false);
         }
     }
 
@@ -177,7 +177,7 @@
             target,
             sequence: self.sequence,
             indirect_at: now + self.settings.ack_timeout,
-            indirect_asked: false,
+            indirect_sent: false,
             verdict_at: now + self.settings.probe_interval,
         });
     }
@@ -185,10 +185,10 @@
     /// The next live member in a shuffled round over the group.
     fn next_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
         if self.probe_order.is_empty() {
-            let me = self.me.node;
+            let own_node = self.own_record.node;
             let group = self.own_group()?;
             let mut order: Vec<_> =
-                group.live().map(|record| record.node).filter(|node| *node != me).collect();
+                group.live().map(|record| record.node).filter(|node| *node != own_node).collect();
             order.shuffle(rng);
             self.probe_order = order;
         }
@@ -201,7 +201,7 @@
         None
     }
 
-    fn ask_others(&mut self, now: MonotonicTime, rng: &mut impl Rng, round: ProbeRound) {
+    fn send_indirect_probes(&mut self, now: MonotonicTime, rng: &mut impl Rng, round: ProbeRound) {
         let count = self.settings.indirect_probes + 1;
         let helpers =
             self.random_members(rng, count).into_iter().filter(|node| *node != round.target);
@@ -212,21 +212,21 @@
             let message = GossipMessage::new(self.revision, payload);
             self.send(now, SendPriority::Normal, helper, message);
         }
-        self.round = Some(ProbeRound { indirect_asked: true, ..round });
+        self.round = Some(ProbeRound { indirect_sent: true, ..round });
     }
 
     fn fail_probe(&mut self, now: MonotonicTime, rng: &mut impl Rng, round: ProbeRound) {
         self.round = None;
-        self.doubt = MAX_DOUBT.min(self.doubt + 1);
+        self.health_score = MAX_HEALTH_SCORE.min(self.health_score + 1);
         let record = self.own_group().and_then(|group| group.get(round.target));
         let suspect = record.map(|record| record.with_state(MemberState::Suspect));
         if let Some(suspect) = suspect {
-            self.absorb(now, rng, MemberUpdate::new(suspect), true);
+            self.merge_update(now, rng, MemberUpdate::new(suspect), true);
         }
     }
 
     fn end_probe(&mut self, sequence: u64) {
-        self.doubt = self.doubt.saturating_sub(1);
+        self.health_score = self.health_score.saturating_sub(1);
         if self.round.is_some_and(|round| round.sequence == sequence) {
             self.round = None;
         }
--- a/crates/coltsfootroute/src/membership/gossip_engine/pulling.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/pulling.rs
@@ -35,14 +35,14 @@
     }
 
     /// A member answered that its records are the same.
-    pub(super) fn take_match(&mut self, now: MonotonicTime, service: &ServiceName) {
+    pub(super) fn handle_match(&mut self, now: MonotonicTime, service: &ServiceName) {
         if let Some(watch) = self.watches.get_mut(service) {
             watch.note_answer(now);
         }
     }
 
     /// A member answered with the digests of its buckets: asks for those that differ.
-    pub(super) fn take_buckets(
+    pub(super) fn handle_buckets(
         &mut self,
         now: MonotonicTime,
         rng: &mut impl Rng,
@@ -50,7 +50,7 @@
         service: ServiceName,
         digests: &[u32],
     ) {
-        self.take_match(now, &service);
+        self.handle_match(now, &service);
         let Some(group) = self.groups.get(&service) else { return };
         if !is_bucket_count(digests.len()) {
             return;
@@ -72,7 +72,7 @@
 
     /// A member sent the records of some buckets: tells it of live ones that it does not have, for its
     /// group to check.
-    pub(super) fn take_records(
+    pub(super) fn handle_records(
         &mut self,
         now: MonotonicTime,
         from: NodeId,
@@ -92,20 +92,20 @@
         let lacking = own
             .filter(|update| update.record.state.is_live() && !named.contains(&update.record.node));
         let lacking: Vec<_> = lacking.collect();
-        self.correct(now, from, lacking);
+        self.send_corrections(now, from, lacking);
     }
 
     /// A node outside the group answered with the members that it knows.
-    pub(super) fn take_seeds(&mut self, now: MonotonicTime, service: &ServiceName, any: bool) {
+    pub(super) fn handle_seeds(&mut self, now: MonotonicTime, service: &ServiceName, any: bool) {
         let Some(watch) = self.watches.get_mut(service) else { return };
-        watch.waiting = None;
+        watch.pending = None;
         if any {
             self.pull_again_soon(now, service);
         }
     }
 
     fn pull(&mut self, now: MonotonicTime, rng: &mut impl Rng, service: &ServiceName) {
-        self.note_silence(now, service);
+        self.note_unanswered_pull(now, service);
         let interval = self.pull_interval(now, service);
         let target = self.pull_target(now, rng, service);
         let priority = self.pull_priority(now, service);
@@ -117,7 +117,7 @@
             if !self.send(now, priority, target, message) {
                 wait = DEFERRED_PULL_DELAY;
             } else if let Some(watch) = self.watches.get_mut(service) {
-                watch.waiting = Some(target);
+                watch.pending = Some(target);
             }
         }
         if let Some(watch) = self.watches.get_mut(service) {
@@ -127,9 +127,9 @@
 
     /// The node asked last has not answered: it is asked less, and a group of which nobody answers
     /// for long, nor takes calls, is hidden.
-    fn note_silence(&mut self, now: MonotonicTime, service: &ServiceName) {
+    fn note_unanswered_pull(&mut self, now: MonotonicTime, service: &ServiceName) {
         let Some(watch) = self.watches.get_mut(service) else { return };
-        let Some(target) = watch.waiting.take() else { return };
+        let Some(target) = watch.pending.take() else { return };
         watch.silent.insert(target);
         let may_be_gone = watch.may_be_gone(now, self.settings.hide_after);
         if !may_be_gone || self.is_member_of(service) {
@@ -169,17 +169,18 @@
     ) -> Option<NodeId> {
         let group = self.groups.get(service)?;
         let watch = self.watches.get(service)?;
-        let others = || group.live().map(|record| record.node).filter(|node| *node != self.me.node);
+        let others =
+            || group.live().map(|record| record.node).filter(|node| *node != self.own_record.node);
         let answering = others().filter(|node| !watch.silent.contains(node)).choose(rng);
         // When all are silent, every second pull asks elsewhere.
         let elsewhere = rng.random_bool(0.5);
         let members = if elsewhere { None } else { others().choose(rng) };
         answering
             .or(members)
-            .or_else(|| group.lost().filter(|_| !elsewhere).choose(rng))
-            .or_else(|| self.cross_target(now, rng))
+            .or_else(|| group.recovery_candidates().filter(|_| !elsewhere).choose(rng))
+            .or_else(|| self.cross_group_target(now, rng))
             .or_else(|| others().choose(rng))
-            .or_else(|| group.lost().choose(rng))
+            .or_else(|| group.recovery_candidates().choose(rng))
     }
 
     /// Short after an unanswered pull if there is another member to ask; long for a group of which
@@ -189,14 +190,14 @@
         else {
             return self.settings.pull_interval;
         };
-        let interval = self.calm_interval(now, service, watch);
-        let others = group.live().filter(|record| record.node != self.me.node);
+        let interval = self.base_interval(now, service, watch);
+        let others = group.live().filter(|record| record.node != self.own_record.node);
         let (mut unasked, mut members) = (false, false);
         for member in others {
             members = true;
             unasked |= !watch.silent.contains(&member.node);
         }
-        let lost = !members && now.since(watch.answered) >= self.settings.hide_after;
+        let lost = !members && now.since(watch.last_answer) >= self.settings.hide_after;
         if lost {
             interval.max(self.settings.pull_interval * LOST_PULL_FACTOR)
         } else if unasked && !watch.silent.is_empty() {
@@ -206,7 +207,7 @@
         }
     }
 
-    fn calm_interval(
+    fn base_interval(
         &self,
         now: MonotonicTime,
         service: &ServiceName,
@@ -214,7 +215,7 @@
     ) -> Duration {
         let alone = self.groups.get(service).is_none_or(|group| group.live_count() <= 1);
         match self.is_member_of(service) {
-            true if alone => self.settings.cross_interval,
+            true if alone => self.settings.cross_group_interval,
             true => self.settings.sync_interval,
             false if self.is_cold(now, watch) => self.settings.cold_pull_interval,
             false => self.settings.pull_interval,
@@ -227,8 +228,8 @@
     }
 
     fn is_cold(&self, now: MonotonicTime, watch: &WatchState) -> bool {
-        let many = self.watches.len() > self.settings.hot_watches;
-        many && now.since(watch.used) >= self.settings.cold_after
+        let many = self.watches.len() > self.settings.max_hot_watches;
+        many && now.since(watch.last_used) >= self.settings.cold_after
     }
 
     fn pull_again_soon(&mut self, now: MonotonicTime, service: &ServiceName) {
--- a/crates/coltsfootroute/src/membership/gossip_engine/spreading.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/spreading.rs
@@ -14,7 +14,7 @@
 };
 
 /// Most news that travels on one ping or acknowledgement.
-const MAX_PIGGYBACK: usize = 8;
+const MAX_PIGGYBACKED_UPDATES: usize = 8;
 /// Members of a service named to a node that asks for it.
 pub(super) const SEEDS_PER_ANSWER: usize = 3;
 
@@ -29,7 +29,7 @@
     ) -> bool {
         let message = GossipMessage { quarantine: self.quarantine, ..message };
         let bytes = (message.wire_bytes() + DATAGRAM_OVERHEAD_BYTES) as u64;
-        if !self.budget.try_take(now, priority, bytes) {
+        if !self.budget.try_acquire(now, priority, bytes) {
             self.counters.deferred += 1;
             return false;
         }
@@ -76,10 +76,10 @@
         payload: GossipPayload,
     ) -> GossipMessage {
         let mut message = GossipMessage::new(self.revision, payload);
-        message.fill([MemberUpdate::new(self.me.clone())]);
-        message.fill(self.accusation(now, to));
+        message.fill([MemberUpdate::new(self.own_record.clone())]);
+        message.fill(self.record_to_refute(now, to));
         if self.own_group().is_some_and(|group| group.get(to).is_some()) {
-            self.add_news(now, to, &mut message);
+            self.add_pending_updates(now, to, &mut message);
         } else {
             message.fill(self.sample_seeds(now, rng));
         }
@@ -133,7 +133,8 @@
     /// Random live members of the own group, without this node.
     pub(super) fn random_members(&self, rng: &mut impl Rng, count: usize) -> Vec<NodeId> {
         let Some(group) = self.own_group() else { return Vec::new() };
-        let others = group.live().map(|record| record.node).filter(|node| *node != self.me.node);
+        let others =
+            group.live().map(|record| record.node).filter(|node| *node != self.own_record.node);
         others.sample(rng, count)
     }
 
@@ -146,7 +147,7 @@
     ) -> Vec<MemberUpdate> {
         match self.groups.get(service) {
             Some(group) => self.sample_group(rng, service, group, SEEDS_PER_ANSWER),
-            None => self.seeds.of(now, service),
+            None => self.seeds.of_service(now, service),
         }
     }
 
@@ -157,23 +158,26 @@
     }
 
     /// What stands in the own group against the receiver, so that it can refute.
-    fn accusation(&self, now: MonotonicTime, to: NodeId) -> Option<MemberUpdate> {
+    fn record_to_refute(&self, now: MonotonicTime, to: NodeId) -> Option<MemberUpdate> {
         let group = self.own_group()?;
         let accused = group.get(to)?.state != MemberState::Alive;
         if accused { group.update(now, to) } else { None }
     }
 
-    fn add_news(&mut self, now: MonotonicTime, to: NodeId, message: &mut GossipMessage) {
+    fn add_pending_updates(&mut self, now: MonotonicTime, to: NodeId, message: &mut GossipMessage) {
         let Some(group) = self.own_group() else { return };
-        let news =
-            self.updates.pending().into_iter().filter(|node| *node != to && *node != self.me.node);
+        let news = self
+            .updates
+            .pending()
+            .into_iter()
+            .filter(|node| *node != to && *node != self.own_record.node);
         let news: Vec<_> =
-            news.filter_map(|node| group.update(now, node)).take(MAX_PIGGYBACK).collect();
+            news.filter_map(|node| group.update(now, node)).take(MAX_PIGGYBACKED_UPDATES).collect();
         let nodes: Vec<_> = news.iter().map(|update| update.record.node).collect();
         let added = message.fill(news);
         let limit = self.transmit_limit();
         // The own record is on every ping anyway.
-        for node in nodes.into_iter().take(added).chain([self.me.node]) {
+        for node in nodes.into_iter().take(added).chain([self.own_record.node]) {
             self.updates.note_sent(node, limit);
         }
     }
--- a/crates/coltsfootroute/src/membership/gossip_engine/watch_state.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/watch_state.rs
@@ -12,17 +12,17 @@
     /// Time of the next pull.
     pub(super) due: MonotonicTime,
     /// When the service was last used; decides between hot and cold.
-    pub(super) used: MonotonicTime,
+    pub(super) last_used: MonotonicTime,
     /// The node asked that has not answered yet.
-    pub(super) waiting: Option<NodeId>,
+    pub(super) pending: Option<NodeId>,
     /// Nodes that did not answer since the last answer of any.
     pub(super) silent: IndexSet<NodeId>,
     /// When a member last answered, or the watch began.
-    pub(super) answered: MonotonicTime,
+    pub(super) last_answer: MonotonicTime,
     /// When a call of this node last reached a member.
-    pub(super) reached: Option<MonotonicTime>,
+    pub(super) last_reached: Option<MonotonicTime>,
     /// When a call of this node last failed to reach a member.
-    pub(super) unreached: Option<MonotonicTime>,
+    pub(super) last_unreachable: Option<MonotonicTime>,
 }
 
 impl WatchState {
@@ -30,12 +30,12 @@
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             due: now,
-            used: now,
-            waiting: None,
+            last_used: now,
+            pending: None,
             silent: IndexSet::new(),
-            answered: now,
-            reached: None,
-            unreached: None,
+            last_answer: now,
+            last_reached: None,
+            last_unreachable: None,
         }
     }
 
@@ -44,15 +44,15 @@
     /// alone proves nothing.
     pub(super) fn may_be_gone(&self, now: MonotonicTime, silence: Duration) -> bool {
         let is_silent = |heard: MonotonicTime| now.since(heard) >= silence;
-        is_silent(self.answered)
-            && self.reached.is_none_or(is_silent)
-            && self.unreached.is_some_and(|failed| failed >= self.answered)
+        is_silent(self.last_answer)
+            && self.last_reached.is_none_or(is_silent)
+            && self.last_unreachable.is_some_and(|failed| failed >= self.last_answer)
     }
 
     /// Notes an answer of a member of the group.
     pub(super) fn note_answer(&mut self, now: MonotonicTime) {
-        self.waiting = None;
+        self.pending = None;
         self.silent.clear();
-        self.answered = now;
+        self.last_answer = now;
     }
 }
--- a/crates/coltsfootroute/src/membership/gossip_settings.rs
+++ b/crates/coltsfootroute/src/membership/gossip_settings.rs
@@ -22,7 +22,7 @@
         /// Time between two pulls of a watched service in use.
         pub pull_interval: Duration,
         /// Most groups held in detail that are all pulled at the short interval, used or not.
-        pub hot_watches: usize,
+        pub max_hot_watches: usize,
         /// Time between two pulls of a watched service not in use, beyond that number of groups.
         pub cold_pull_interval: Duration,
         /// Time without use after which a watched service is cold.
@@ -33,7 +33,7 @@
         /// if a call has failed to reach one.
         pub hide_after: Duration,
         /// Time between two pings outside the own group.
-        pub cross_interval: Duration,
+        pub cross_group_interval: Duration,
         /// Time between two probes of dead members of the own group.
         pub dead_probe_interval: Duration,
         /// Time between two ticks that shows that the process had stopped.
@@ -84,12 +84,12 @@
             indirect_probes: 3,
             suspicion_rounds: 4,
             pull_interval: Duration::from_secs(1),
-            hot_watches: 16,
+            max_hot_watches: 16,
             cold_pull_interval: Duration::from_secs(10),
             cold_after: Duration::from_secs(30),
             sync_interval: Duration::from_secs(10),
             hide_after: Duration::from_secs(10),
-            cross_interval: Duration::from_secs(2),
+            cross_group_interval: Duration::from_secs(2),
             dead_probe_interval: Duration::from_secs(5),
             pause_gap: Duration::from_secs(3),
             retransmit_factor: 3,
--- a/crates/coltsfootroute/src/membership/group_view.rs
+++ b/crates/coltsfootroute/src/membership/group_view.rs
@@ -79,46 +79,46 @@
         }
     }
 
-    /// Takes in a statement if it is newer in the merge order. A `vouched` one, which comes from the
+    /// Takes in a statement if it is newer in the merge order. A `authoritative` one, which comes from the
     /// member itself or from its group, also shows a hidden member again.
     pub fn merge(
         &mut self,
         now: MonotonicTime,
         update: MemberUpdate,
-        vouched: bool,
+        authoritative: bool,
     ) -> MergeOutcome {
         let record = update.record;
         let before = match self.members.get(&record.node) {
             Some(known) => match record.merge_order(&known.record) {
                 Ordering::Less => return MergeOutcome::Stale,
-                Ordering::Equal if !(known.hidden && vouched) => return MergeOutcome::Same,
+                Ordering::Equal if !(known.hidden && authoritative) => return MergeOutcome::Same,
                 _ if known.hidden => None,
                 _ => Some(known.record.state),
             },
             None if self.members.len() >= self.max_members => return MergeOutcome::Full,
             None => None,
         };
-        self.put(record, now + self.retention.saturating_sub(update.age), false);
+        self.insert_entry(record, now + self.retention.saturating_sub(update.age), false);
         MergeOutcome::Changed(before)
     }
 
     /// Hides a live member: neither shown nor passed on, but remembered.
     pub fn hide(&mut self, now: MonotonicTime, node: NodeId) {
         if let Some(record) = self.get(node).cloned() {
-            self.put(record, now + self.retention, true);
+            self.insert_entry(record, now + self.retention, true);
         }
     }
 
     /// Shows the hidden members again: for a node that probes them itself from now on.
-    pub fn reveal(&mut self, now: MonotonicTime) {
+    pub fn unhide_all(&mut self, now: MonotonicTime) {
         let hidden = self.members.values().filter(|entry| entry.hidden);
         for record in hidden.map(|entry| entry.record.clone()).collect::<Vec<_>>() {
-            self.put(record, now + self.retention, false);
+            self.insert_entry(record, now + self.retention, false);
         }
     }
 
     /// Members that may be back: hidden or dead.
-    pub fn lost(&self) -> impl Iterator<Item = NodeId> {
+    pub fn recovery_candidates(&self) -> impl Iterator<Item = NodeId> {
         let lost = self
             .members
             .values()
@@ -207,24 +207,24 @@
         updates
     }
 
-    fn put(&mut self, record: MemberRecord, expires: MonotonicTime, hidden: bool) {
+    fn insert_entry(&mut self, record: MemberRecord, expires: MonotonicTime, hidden: bool) {
         let hash = record.content_hash();
         let bucket = record.node_hash() as u8;
         let entry = MemberEntry { record, hash, bucket, expires, hidden };
         if entry.is_present() {
-            self.toggle(&entry);
+            self.toggle_digests(&entry);
             self.live += 1;
         }
         let before = self.members.insert(entry.record.node, entry);
         if let Some(before) = before.filter(MemberEntry::is_present) {
-            self.toggle(&before);
+            self.toggle_digests(&before);
             self.live -= 1;
         }
         self.version += 1;
     }
 
     /// Adds a live record's hash to the digests, or takes it out again.
-    fn toggle(&mut self, entry: &MemberEntry) {
+    fn toggle_digests(&mut self, entry: &MemberEntry) {
         self.buckets[usize::from(entry.bucket)] ^= entry.hash;
         self.digest ^= entry.hash;
     }
--- a/crates/coltsfootroute/src/membership/instance_life.rs
+++ b/crates/coltsfootroute/src/membership/instance_incarnation.rs
@@ -10,31 +10,31 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(transparent)]
-pub struct BirthTime(pub u64);
+pub struct StartTime(pub u64);
 
 record_type! {
     /// One life of an upstream, from a start to its end.
-    pub struct InstanceLife {
+    pub struct InstanceIncarnation {
         /// Name of the upstream.
         pub name: InstanceName,
         /// When it started; `None` where it does not say so, and then has another name in each life.
-        pub born: Option<BirthTime>,
+        pub started: Option<StartTime>,
     }
 }
 
-impl InstanceLife {
+impl InstanceIncarnation {
     /// A life of an upstream that does not say when it started.
     pub fn new(name: InstanceName) -> Self {
-        Self { name, born: None }
+        Self { name, started: None }
     }
 
     /// Says when it started.
-    pub fn with_born(self, born: Option<BirthTime>) -> Self {
-        Self { born, ..self }
+    pub fn with_started(self, started: Option<StartTime>) -> Self {
+        Self { started, ..self }
     }
 
     /// Whether it is known to have started before `other`.
     pub(super) fn is_before(&self, other: &Self) -> bool {
-        matches!((self.born, other.born), (Some(own), Some(others)) if own < others)
+        matches!((self.started, other.started), (Some(own), Some(others)) if own < others)
     }
 }
--- a/crates/coltsfootroute/src/membership/introduction_row.rs
+++ b/crates/coltsfootroute/src/membership/introduction_row.rs
@@ -45,7 +45,7 @@
     }
 
     /// What a key says, if it is the key of such a row.
-    pub fn read_key(key: &RowKey) -> Option<IntroducedNode> {
+    pub fn parse_key(key: &RowKey) -> Option<IntroducedNode> {
         let (service, node) = key.as_str().strip_prefix(PREFIX)?.rsplit_once('/')?;
         Some(IntroducedNode {
             service: ServiceName::new(service),
--- a/crates/coltsfootroute/src/membership/resume_window.rs
+++ b/crates/coltsfootroute/src/membership/resume_window.rs
@@ -5,7 +5,7 @@
 use crate::time::MonotonicTime;
 
 /// Longest time that a heartbeat is under way: as long as an upstream may be silent and still counts as there.
-const LATEST_HEARTBEAT: Duration = Duration::from_secs(5);
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_secs(5);
 
 /// Whether a node that has started knows of the leaves that its life before has acknowledged.
 ///
@@ -17,22 +17,22 @@
 pub struct ResumeWindow {
     started: MonotonicTime,
     /// Whether what the life before this one wrote has been read.
-    is_read: bool,
+    leaves_read: bool,
 }
 
 impl ResumeWindow {
     /// The window of a node that has started `now`.
     pub fn new(now: MonotonicTime) -> Self {
-        Self { started: now, is_read: false }
+        Self { started: now, leaves_read: false }
     }
 
     /// What the life before this one wrote has been read.
-    pub fn note_read(&mut self) {
-        self.is_read = true;
+    pub fn note_leaves_read(&mut self) {
+        self.leaves_read = true;
     }
 
     /// Whether a heartbeat that comes now may be of an upstream whose leave was acknowledged.
     pub fn is_open(&self, now: MonotonicTime) -> bool {
-        !self.is_read && now.since(self.started) <= LATEST_HEARTBEAT
+        !self.leaves_read && now.since(self.started) <= MAX_HEARTBEAT_DELAY
     }
 }
--- a/crates/coltsfootroute/src/membership/seed_table.rs
+++ b/crates/coltsfootroute/src/membership/seed_table.rs
@@ -38,10 +38,10 @@
     pub fn offer(&mut self, now: MonotonicTime, rng: &mut impl Rng, update: MemberUpdate) {
         let Some(service) = update.record.service.clone() else { return };
         if update.record.state != MemberState::Alive {
-            self.withdraw(&update.record);
+            self.remove_superseded(&update.record);
             return;
         }
-        if update.age >= self.max_age || self.lacks_room(&service) {
+        if update.age >= self.max_age || self.has_no_room_for(&service) {
             return;
         }
         let seed = SeedEntry { record: update.record, expires: now + (self.max_age - update.age) };
@@ -58,13 +58,17 @@
     }
 
     /// Drops a service, because it is held in detail now; returns its seeds.
-    pub fn take(&mut self, now: MonotonicTime, service: &ServiceName) -> Vec<MemberUpdate> {
+    pub fn remove_service(
+        &mut self,
+        now: MonotonicTime,
+        service: &ServiceName,
+    ) -> Vec<MemberUpdate> {
         let seeds = self.services.swap_remove(service).unwrap_or_default();
         seeds.iter().map(|seed| self.seed_update(now, seed)).collect()
     }
 
     /// The seeds of one service.
-    pub fn of(&self, now: MonotonicTime, service: &ServiceName) -> Vec<MemberUpdate> {
+    pub fn of_service(&self, now: MonotonicTime, service: &ServiceName) -> Vec<MemberUpdate> {
         let seeds = self.services.get(service).map_or(&[][..], Vec::as_slice);
         seeds.iter().map(|seed| self.seed_update(now, seed)).collect()
     }
@@ -104,11 +108,11 @@
         MemberUpdate::new(seed.record.clone()).with_age(age)
     }
 
-    fn lacks_room(&self, service: &ServiceName) -> bool {
+    fn has_no_room_for(&self, service: &ServiceName) -> bool {
         self.services.len() >= self.max_services && !self.services.contains_key(service)
     }
 
-    fn withdraw(&mut self, record: &MemberRecord) {
+    fn remove_superseded(&mut self, record: &MemberRecord) {
         let Some(service) = &record.service else { return };
         let Some(seeds) = self.services.get_mut(service) else { return };
         seeds.retain(|seed| {
--- a/crates/coltsfootroute/src/routing/upstream_record.rs
+++ b/crates/coltsfootroute/src/routing/upstream_record.rs
@@ -69,7 +69,7 @@
         if info.incarnation < self.info.incarnation {
             return;
         }
-        if info.incarnation.is_later_life(self.info.incarnation) {
+        if info.incarnation.is_later_instance(self.info.incarnation) {
             let in_flight = self.in_flight;
             *self = Self::new(now, info, tier, settings);
             self.in_flight = in_flight;
--- a/crates/coltsfootroute/src/time.rs
+++ b/crates/coltsfootroute/src/time.rs
@@ -1,7 +1,7 @@
 //! Time as the library sees it: always an argument, never read from a clock.
 
 mod monotonic_time;
-mod suspension_watch;
+mod suspension_detector;
 
 pub use monotonic_time::MonotonicTime;
-pub use suspension_watch::SuspensionWatch;
+pub use suspension_detector::SuspensionDetector;
--- a/crates/coltsfootroute/tests/integration/freshness/config_world.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/config_world.rs
@@ -17,7 +17,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-use crate::membership::network::{GossipNetwork, Life, node_id};
+use crate::membership::network::{GossipNetwork, ProcessState, node_id};
 
 /// Step of the clock.
 const STEP: Duration = Duration::from_millis(20);
@@ -187,7 +187,7 @@
     }
 
     fn is_up(&self, id: NodeId) -> bool {
-        self.net.nodes[&id].life == Life::Up
+        self.net.nodes[&id].process == ProcessState::Up
     }
 
     fn step(&mut self, id: NodeId) {
--- a/crates/coltsfootroute/tests/integration/membership/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/membership/fuzz.rs
@@ -17,7 +17,7 @@
 
 use crate::util::fuzz_config::fuzz_config;
 
-use super::network::{GossipNetwork, Life, node_id};
+use super::network::{GossipNetwork, ProcessState, node_id};
 
 const NODES: usize = 7;
 const SERVICES: [&str; 2] = ["logbook", "medicals"];
@@ -27,8 +27,8 @@
 
 /// What a node truly is.
 #[derive(Clone, Debug)]
-struct TrueNode {
-    life: Life,
+struct ExpectedNode {
+    process: ProcessState,
     service: Option<usize>,
 }
 
@@ -47,15 +47,17 @@
     Run(u64),
 }
 
-struct TrueMembership;
+struct ExpectedMembership;
 
-impl ReferenceStateMachine for TrueMembership {
-    type State = Vec<TrueNode>;
+impl ReferenceStateMachine for ExpectedMembership {
+    type State = Vec<ExpectedNode>;
     type Transition = FuzzStep;
 
     fn init_state() -> BoxedStrategy<Self::State> {
-        let node =
-            |place: usize| TrueNode { life: Life::Up, service: Some(usize::from(place >= 4)) };
+        let node = |place: usize| ExpectedNode {
+            process: ProcessState::Up,
+            service: Some(usize::from(place >= 4)),
+        };
         Just((0..NODES).map(node).collect::<Vec<_>>()).boxed()
     }
 
@@ -85,10 +87,12 @@
         match *step {
             FuzzStep::Announce(node, service) => state[node].service = Some(service),
             FuzzStep::Leave(node) => state[node].service = None,
-            FuzzStep::Kill(node) => state[node].life = Life::Killed,
-            FuzzStep::Restart(node) => state[node] = TrueNode { life: Life::Up, service: None },
-            FuzzStep::Pause(node) => state[node].life = Life::Paused,
-            FuzzStep::Resume(node) => state[node].life = Life::Up,
+            FuzzStep::Kill(node) => state[node].process = ProcessState::Killed,
+            FuzzStep::Restart(node) => {
+                state[node] = ExpectedNode { process: ProcessState::Up, service: None }
+            }
+            FuzzStep::Pause(node) => state[node].process = ProcessState::Paused,
+            FuzzStep::Resume(node) => state[node].process = ProcessState::Up,
             _ => {}
         }
         state
@@ -97,21 +101,21 @@
     fn preconditions(state: &Self::State, step: &FuzzStep) -> bool {
         match *step {
             FuzzStep::Announce(node, _) | FuzzStep::Leave(node) | FuzzStep::Pause(node) => {
-                state[node].life == Life::Up
+                state[node].process == ProcessState::Up
             }
-            FuzzStep::Resume(node) => state[node].life == Life::Paused,
-            FuzzStep::Kill(node) => state[node].life != Life::Killed,
+            FuzzStep::Resume(node) => state[node].process == ProcessState::Paused,
+            FuzzStep::Kill(node) => state[node].process != ProcessState::Killed,
             _ => true,
         }
     }
 }
 
 /// Observer, its life, the one observed, the service.
-type Sight = (NodeId, u64, NodeId, &'static str);
+type ObservationKey = (NodeId, u64, NodeId, &'static str);
 
 struct FuzzedNetwork {
     network: GossipNetwork,
-    seen: IndexMap<Sight, MemberRecord>,
+    seen: IndexMap<ObservationKey, MemberRecord>,
     own: IndexMap<NodeId, Incarnation>,
 }
 
@@ -156,19 +160,19 @@
         while self.network.now < end {
             let step = end.since(self.network.now).min(Duration::from_millis(200));
             self.network.run(step);
-            self.look();
+            self.check_invariants();
         }
     }
 
-    fn look(&mut self) {
+    fn check_invariants(&mut self) {
         for (observer, state) in self.network.up_nodes() {
             let incarnation = state.engine.own_record().incarnation;
             let before = self.own.insert(observer, incarnation);
             assert!(before <= Some(incarnation), "own incarnation of {observer} fell");
             for service in SERVICES {
                 for record in state.engine.records(service) {
-                    let sight = (observer, state.lives, record.node, service);
-                    if let Some(before) = self.seen.insert(sight, record.clone()) {
+                    let key = (observer, state.start_count, record.node, service);
+                    if let Some(before) = self.seen.insert(key, record.clone()) {
                         assert_ne!(
                             record.merge_order(&before),
                             Ordering::Less,
@@ -191,13 +195,13 @@
 
 impl StateMachineTest for MembershipFuzz {
     type SystemUnderTest = FuzzedNetwork;
-    type Reference = TrueMembership;
+    type Reference = ExpectedMembership;
 
-    fn init_test(_: &Vec<TrueNode>) -> FuzzedNetwork {
+    fn init_test(_: &Vec<ExpectedNode>) -> FuzzedNetwork {
         FuzzedNetwork::new()
     }
 
-    fn apply(mut fuzzed: FuzzedNetwork, _: &Vec<TrueNode>, step: FuzzStep) -> FuzzedNetwork {
+    fn apply(mut fuzzed: FuzzedNetwork, _: &Vec<ExpectedNode>, step: FuzzStep) -> FuzzedNetwork {
         let network = &mut fuzzed.network;
         match step {
             FuzzStep::Announce(node, service) => {
@@ -218,18 +222,18 @@
             FuzzStep::Delay(millis) => network.max_delay = Duration::from_millis(millis),
             FuzzStep::Run(millis) => fuzzed.run(Duration::from_millis(millis)),
         }
-        fuzzed.look();
+        fuzzed.check_invariants();
         fuzzed
     }
 
-    fn teardown(mut fuzzed: FuzzedNetwork, mut truth: Vec<TrueNode>) {
+    fn teardown(mut fuzzed: FuzzedNetwork, mut truth: Vec<ExpectedNode>) {
         fuzzed.network.heal();
         fuzzed.network.loss_percent = 0;
         fuzzed.network.max_delay = Duration::from_millis(5);
         for (place, node) in truth.iter_mut().enumerate() {
-            if node.life == Life::Paused {
+            if node.process == ProcessState::Paused {
                 fuzzed.network.resume(fuzz_node(place));
-                node.life = Life::Up;
+                node.process = ProcessState::Up;
             }
         }
         fuzzed.introduce();
@@ -239,10 +243,11 @@
 }
 
 /// Each node that is up shows exactly the live members of each service, alive.
-fn check_views(network: &GossipNetwork, truth: &[TrueNode]) {
+fn check_views(network: &GossipNetwork, truth: &[ExpectedNode]) {
     for (number, service) in SERVICES.into_iter().enumerate() {
-        let live =
-            |place: &usize| truth[*place].life == Life::Up && truth[*place].service == Some(number);
+        let live = |place: &usize| {
+            truth[*place].process == ProcessState::Up && truth[*place].service == Some(number)
+        };
         let expected: Vec<_> = (0..truth.len())
             .filter(live)
             .map(|place| (fuzz_node(place), MemberState::Alive))
--- a/crates/coltsfootroute/tests/integration/membership/introduction.rs
+++ b/crates/coltsfootroute/tests/integration/membership/introduction.rs
@@ -29,7 +29,7 @@
     IntroductionRow { service: ServiceName::new(service), node, incarnation: Incarnation(1) }
 }
 
-fn alone(write: RowWrite) -> TableRequest {
+fn single_write(write: RowWrite) -> TableRequest {
     TableRequest::Transact(vec![write])
 }
 
@@ -37,7 +37,10 @@
     let mut table = MemoryTable::default();
     for index in 0..ROWS {
         let service = if index % 2 == 0 { "anchor" } else { "medicals" };
-        assert_eq!(table.apply(&alone(row(service, node(index)).write())), TableReply::Committed);
+        assert_eq!(
+            table.apply(&single_write(row(service, node(index)).write())),
+            TableReply::Committed
+        );
     }
     table
 }
@@ -46,14 +49,14 @@
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn a_scan_comes_by_every_node_from_any_start(#[case] seed: u64) {
+fn a_scan_finds_every_node_from_any_start(#[case] seed: u64) {
     let mut table = filled();
     let mut scan = IntroductionScan::new(&mut Pcg64::seed_from_u64(seed));
 
     let mut found = BTreeSet::new();
     for _ in 0..ROUNDS {
         let reply = table.apply(&scan.request());
-        found.extend(nodes(scan.take(&reply)));
+        found.extend(nodes(scan.handle_reply(&reply)));
     }
 
     assert_eq!(found, (0..ROWS).map(node).collect());
@@ -62,13 +65,13 @@
 #[test]
 fn a_scan_of_a_service_finds_its_nodes_and_no_others() {
     let mut table = filled();
-    table.apply(&alone(row("anchorage", node(200)).write()));
+    table.apply(&single_write(row("anchorage", node(200)).write()));
     let mut scan = IntroductionScan::of_service(&ServiceName::new("anchor"));
 
     let mut found = BTreeSet::new();
     for _ in 0..2 {
         let reply = table.apply(&scan.request());
-        found.extend(nodes(scan.take(&reply)));
+        found.extend(nodes(scan.handle_reply(&reply)));
     }
 
     assert_eq!(found, (0..ROWS).step_by(2).map(node).collect());
@@ -79,7 +82,7 @@
     let mut table = MemoryTable::default();
     let [stays, leaves] = [node(1), NodeId("[::1]:4711".parse().unwrap())];
     for node in [stays, leaves] {
-        table.apply(&alone(row("anchor", node).write()));
+        table.apply(&single_write(row("anchor", node).write()));
     }
     table.apply(&TableRequest::Transact(vec![RowWrite {
         key: RowKey::new("introduction/anchor/nobody"),
@@ -87,15 +90,15 @@
         value: Some("1".to_owned()),
     }]));
     let mut scan = IntroductionScan::new(&mut Pcg64::seed_from_u64(1));
-    scan.take(&TableReply::Rows(Vec::new()));
+    scan.handle_reply(&TableReply::Rows(Vec::new()));
     assert!(scan.is_at_start());
 
     let both = table.apply(&scan.request());
-    table.apply(&alone(row("anchor", leaves).removal()));
+    table.apply(&single_write(row("anchor", leaves).removal()));
     let one = table.apply(&scan.request());
 
-    assert_eq!(nodes(scan.take(&both)), [stays, leaves]);
-    assert_eq!(nodes(scan.take(&one)), [stays]);
+    assert_eq!(nodes(scan.handle_reply(&both)), [stays, leaves]);
+    assert_eq!(nodes(scan.handle_reply(&one)), [stays]);
 }
 
 #[test]
@@ -103,7 +106,7 @@
     let mut scan = IntroductionScan::new(&mut Pcg64::seed_from_u64(1));
     let before = scan.request();
 
-    assert_eq!(scan.take(&TableReply::Unavailable), []);
+    assert_eq!(scan.handle_reply(&TableReply::Unavailable), []);
 
     assert_eq!(scan.request(), before);
 }
@@ -114,14 +117,14 @@
     let mut table = MemoryTable::default();
     for (index, service) in ["licences", "logbook", "medicals", "renewals"].iter().enumerate() {
         for member in 0..40 {
-            table.apply(&alone(row(service, node(index as u16 * 40 + member)).write()));
+            table.apply(&single_write(row(service, node(index as u16 * 40 + member)).write()));
         }
     }
     let mut rng = Pcg64::seed_from_u64(4);
     let mut scan = IntroductionScan::new(&mut rng);
 
-    let found = scan.take(&table.apply(&scan.request()));
-    let asked = IntroductionScan::some_of_each(&mut rng, &found);
+    let found = scan.handle_reply(&table.apply(&scan.request()));
+    let asked = IntroductionScan::sample_by_service(&mut rng, &found);
 
     assert_eq!(found.len(), 160);
     let counts: Vec<_> = asked.iter().map(Vec::len).collect();
--- a/crates/coltsfootroute/tests/integration/membership/merge.rs
+++ b/crates/coltsfootroute/tests/integration/membership/merge.rs
@@ -72,16 +72,16 @@
 }
 
 #[test]
-fn hidden_member_comes_back_only_when_vouched_for() {
+fn hidden_member_returns_only_on_an_authoritative_update() {
     let mut view = view(&[update(1, 1, MemberState::Alive)]);
     view.hide(MonotonicTime::ZERO, node_id(1));
 
-    let hearsay = view.merge(MonotonicTime::ZERO, update(1, 1, MemberState::Alive), false);
+    let unverified = view.merge(MonotonicTime::ZERO, update(1, 1, MemberState::Alive), false);
     let hidden = view.live().count();
-    let vouched = view.merge(MonotonicTime::ZERO, update(1, 1, MemberState::Alive), true);
+    let authoritative = view.merge(MonotonicTime::ZERO, update(1, 1, MemberState::Alive), true);
 
-    assert_eq!((hearsay, hidden), (MergeOutcome::Same, 0));
-    assert_eq!((vouched, view.live().count()), (MergeOutcome::Changed(None), 1));
+    assert_eq!((unverified, hidden), (MergeOutcome::Same, 0));
+    assert_eq!((authoritative, view.live().count()), (MergeOutcome::Changed(None), 1));
 }
 
 proptest! {
--- a/crates/coltsfootroute/tests/integration/membership/network.rs
+++ b/crates/coltsfootroute/tests/integration/membership/network.rs
@@ -27,7 +27,7 @@
 const SOCKET_BUFFER: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     Up,
     Paused,
     Killed,
@@ -36,12 +36,12 @@
 #[derive(Clone, Debug)]
 pub struct SimNode {
     pub engine: GossipEngine,
-    pub life: Life,
+    pub process: ProcessState,
     pub events: Vec<GossipEffect>,
     /// What is proved of the configuration in force; travels with each message.
     pub freshness: ConfigFreshness,
     /// Lives of the process so far.
-    pub lives: u64,
+    pub start_count: u64,
     started: MonotonicTime,
     inbox: VecDeque<(NodeId, GossipMessage)>,
     peers: Vec<NodeId>,
@@ -96,10 +96,10 @@
         let before = self.nodes.get(&node);
         let state = SimNode {
             engine: GossipEngine::new(settings, record, self.now),
-            life: Life::Up,
+            process: ProcessState::Up,
             events: Vec::new(),
             freshness: ConfigFreshness::default(),
-            lives: before.map_or(0, |before| before.lives) + 1,
+            start_count: before.map_or(0, |before| before.start_count) + 1,
             started: self.now,
             inbox: VecDeque::new(),
             peers,
@@ -127,7 +127,7 @@
 
     pub fn ask(&mut self, node: NodeId, others: &[NodeId]) {
         let others = others.iter().copied();
-        let effects = self.nodes[&node].engine.ask(self.now, &mut self.rng, others);
+        let effects = self.nodes[&node].engine.ping_nodes(self.now, &mut self.rng, others);
         self.carry_out(node, effects);
     }
 
@@ -137,17 +137,17 @@
     }
 
     pub fn kill(&mut self, node: NodeId) {
-        self.nodes[&node].life = Life::Killed;
+        self.nodes[&node].process = ProcessState::Killed;
         self.nodes[&node].inbox.clear();
     }
 
     pub fn pause(&mut self, node: NodeId) {
-        self.nodes[&node].life = Life::Paused;
+        self.nodes[&node].process = ProcessState::Paused;
     }
 
     /// The process goes on: first with what waits in its socket, which is the worse order.
     pub fn resume(&mut self, node: NodeId) {
-        self.nodes[&node].life = Life::Up;
+        self.nodes[&node].process = ProcessState::Up;
         let inbox = std::mem::take(&mut self.nodes[&node].inbox);
         for (from, message) in inbox {
             self.deliver(from, node, message);
@@ -186,7 +186,7 @@
     pub fn up_nodes(&self) -> impl Iterator<Item = (NodeId, &SimNode)> {
         self.nodes
             .iter()
-            .filter(|(_, state)| state.life == Life::Up)
+            .filter(|(_, state)| state.process == ProcessState::Up)
             .map(|(node, state)| (*node, state))
     }
 
@@ -219,8 +219,8 @@
 
     fn deliver(&mut self, from: NodeId, to: NodeId, message: GossipMessage) {
         let state = &mut self.nodes[&to];
-        match state.life {
-            Life::Up => {
+        match state.process {
+            ProcessState::Up => {
                 if let Some(at) = message.confirmed {
                     let revision = Revision(message.revision);
                     state.freshness.note(RevisionProof { revision, at });
@@ -228,10 +228,10 @@
                 let effects = state.engine.receive(self.now, &mut self.rng, from, message);
                 self.carry_out(to, effects);
             }
-            Life::Paused if state.inbox.len() < SOCKET_BUFFER => {
+            ProcessState::Paused if state.inbox.len() < SOCKET_BUFFER => {
                 state.inbox.push_back((from, message));
             }
-            Life::Paused | Life::Killed => {}
+            ProcessState::Paused | ProcessState::Killed => {}
         }
     }
 
--- a/crates/coltsfootroute/tests/integration/membership/resume.rs
+++ b/crates/coltsfootroute/tests/integration/membership/resume.rs
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn what_has_been_read_ends_the_wait() {
+fn reading_the_earlier_leaves_closes_the_window() {
     let mut window = ResumeWindow::new(START);
 
-    window.note_read();
+    window.note_leaves_read();
 
     assert!(!window.is_open(START));
 }
--- a/crates/coltsfootroute/tests/integration/membership/scenario.rs
+++ b/crates/coltsfootroute/tests/integration/membership/scenario.rs
@@ -67,8 +67,8 @@
             }
             "introduce" => self.introduce(case),
             "ask" => self.ask(case),
-            "reached" => self.note_calls(case, GossipEngine::note_reached),
-            "unreached" => self.note_calls(case, GossipEngine::note_unreached),
+            "reached" => self.note_calls(case, GossipEngine::note_call_reached),
+            "unreached" => self.note_calls(case, GossipEngine::note_call_unreachable),
             "view" => return self.view(case),
             "events" => return self.events(case),
             "sent" => return self.sent(case),
--- a/crates/coltsfootroute/tests/integration/membership/start.rs
+++ b/crates/coltsfootroute/tests/integration/membership/start.rs
@@ -23,11 +23,11 @@
 const SERVICES: [(&str, u8); 4] =
     [("logbook", 62), ("renewals", 50), ("medicals", 70), ("licences", 12)];
 /// When clients come.
-const CLIENTS: Duration = Duration::from_secs(10);
+const CLIENT_START: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(10);
 
 /// One node on its way in.
-struct Newcomer {
+struct StartingNode {
     node: NodeId,
     service: &'static str,
     starts: Duration,
@@ -35,48 +35,48 @@
     reads: Duration,
 }
 
-fn newcomers(rng: &mut Pcg64) -> Vec<Newcomer> {
+fn starting_nodes(rng: &mut Pcg64) -> Vec<StartingNode> {
     let services = SERVICES.iter().flat_map(|(name, count)| (0..*count).map(move |_| *name));
-    let newcomer = |(number, service)| {
+    let starting = |(number, service)| {
         let starts = Duration::from_millis(rng.random_range(0..300));
         let announces = starts + Duration::from_millis(rng.random_range(0..1_500));
         let reads = announces + Duration::from_millis(rng.random_range(900..2_700));
-        Newcomer { node: node_id(number), service, starts, announces, reads }
+        StartingNode { node: node_id(number), service, starts, announces, reads }
     };
-    (0..).zip(services).map(newcomer).collect()
+    (0..).zip(services).map(starting).collect()
 }
 
 /// The network when clients come.
-fn started(seed: u64) -> GossipNetwork {
+fn network_at_client_start(seed: u64) -> GossipNetwork {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut network = GossipNetwork::new(seed);
     let begin = network.now;
-    let newcomers = newcomers(&mut rng);
+    let nodes = starting_nodes(&mut rng);
     let names = SERVICES.map(|(name, _)| name);
     let mut rows = Vec::new();
     let mut passed = Duration::ZERO;
-    while passed < CLIENTS {
+    while passed < CLIENT_START {
         let is_now = |at: Duration| (passed..passed + STEP).contains(&at);
-        for newcomer in &newcomers {
-            if is_now(newcomer.starts) {
-                network.start(newcomer.node, Vec::new());
-                network.watch(newcomer.node, &names);
+        for starting in &nodes {
+            if is_now(starting.starts) {
+                network.start(starting.node, Vec::new());
+                network.watch(starting.node, &names);
             }
-            if is_now(newcomer.announces) {
-                network.announce(newcomer.node, newcomer.service);
-                let service = ServiceName::new(newcomer.service);
-                rows.push(IntroducedNode { service, node: newcomer.node });
+            if is_now(starting.announces) {
+                network.announce(starting.node, starting.service);
+                let service = ServiceName::new(starting.service);
+                rows.push(IntroducedNode { service, node: starting.node });
             }
-            if is_now(newcomer.reads) {
-                for asked in IntroductionScan::some_of_each(&mut rng, &rows) {
-                    network.ask(newcomer.node, &asked);
+            if is_now(starting.reads) {
+                for asked in IntroductionScan::sample_by_service(&mut rng, &rows) {
+                    network.ask(starting.node, &asked);
                 }
             }
         }
         network.run(STEP);
         passed += STEP;
     }
-    assert_eq!(network.now, begin + CLIENTS, "the clock is driven");
+    assert_eq!(network.now, begin + CLIENT_START, "the clock is driven");
     network
 }
 
@@ -91,7 +91,7 @@
 #[case(2)]
 #[case(3)]
 fn nodes_that_start_together_know_each_other_before_clients_come(#[case] seed: u64) {
-    let network = started(seed);
+    let network = network_at_client_start(seed);
 
     let nodes: Vec<_> = network.up_nodes().map(|(node, _)| node).collect();
     assert_eq!(nodes.len(), 194);
@@ -110,7 +110,7 @@
 /// The bytes after a start are a bound, and come once.
 #[test]
 fn what_a_start_may_cost_is_bounded() {
-    let network = started(4);
+    let network = network_at_client_start(4);
     let begin = MonotonicTime::from_millis(1_000);
 
     let spent = |node| network.nodes[&node].engine.status().counters.total_bytes();
--- a/crates/coltsfootroute/tests/integration/suspension.rs
+++ b/crates/coltsfootroute/tests/integration/suspension.rs
@@ -5,19 +5,19 @@
 use coltsfootroute::{
     membership::HeartbeatWatch,
     table::TokenBucket,
-    time::{MonotonicTime, SuspensionWatch},
+    time::{MonotonicTime, SuspensionDetector},
 };
 
 const START: MonotonicTime = MonotonicTime::from_millis(60_000);
 
 #[test]
 fn a_suspension_is_noticed_once() {
-    let mut watch = SuspensionWatch::default();
+    let mut watch = SuspensionDetector::default();
 
-    assert_eq!(watch.look(Duration::from_millis(1)), None);
-    assert_eq!(watch.look(Duration::from_secs(4)), Some(Duration::from_secs(4)));
-    assert_eq!(watch.look(Duration::from_millis(4_001)), None);
-    assert_eq!(watch.look(Duration::from_secs(6)), Some(Duration::from_secs(2)));
+    assert_eq!(watch.detect(Duration::from_millis(1)), None);
+    assert_eq!(watch.detect(Duration::from_secs(4)), Some(Duration::from_secs(4)));
+    assert_eq!(watch.detect(Duration::from_millis(4_001)), None);
+    assert_eq!(watch.detect(Duration::from_secs(6)), Some(Duration::from_secs(2)));
 }
 
 #[test]
