--- a/crates/coltsfootroute/src/membership.rs
+++ b/crates/coltsfootroute/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which upstreams there are, learnt by gossip.
+//! Discovery of upstreams by gossip.
 //!
 //! A node probes the members of its own upstream's service (SWIM: ping, indirect ping, suspicion) and
-//! *watches* the services that it calls, by pulling what differs from one of their members. The
-//! [`GossipEngine`] decides; the embedding process sends the datagrams.
+//! *watches* the services that it calls: it pulls the records that differ from one of their members.
+//! The [`GossipEngine`] makes the decisions; the embedding process sends the datagrams.
 
 mod bandwidth_budget;
 mod gossip_counters;
--- a/crates/coltsfootroute/src/membership/bandwidth_budget.rs
+++ b/crates/coltsfootroute/src/membership/bandwidth_budget.rs
@@ -1,33 +1,34 @@
-//! Bound on the bytes that a node spends on control.
+//! Rate limit for the control traffic of a node.
 
 use super::SendPriority;
 use crate::time::MonotonicTime;
 
-/// Share of the burst, in percent, that lower priorities leave to higher ones.
+/// Shares of the burst, in percent, that low and normal sends leave for those of higher priority.
 const LOW_RESERVE_PERCENT: u64 = 50;
 const NORMAL_RESERVE_PERCENT: u64 = 20;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A token bucket in bytes: over any stretch of `t` seconds at most `burst + rate * t` bytes are sent, and once, after the
-/// start, what it began with in place of `burst`.
+/// Token bucket in bytes. At most `burst + rate * t` bytes are sent in any period of `t` seconds; once, after the
+/// start, the initial content takes the place of `burst`.
 #[derive(Clone, Debug)]
 pub struct BandwidthBudget {
-    /// Bytes per second.
+    /// Refill rate, in bytes per second.
     rate: u64,
-    /// Most bytes that gather.
+    /// Maximum number of bytes that accumulate.
     burst: u64,
-    /// Invariant: at most `burst`, or what is left of the content at the start.
+    /// Bytes that may be sent now. Invariant: at most `burst`, or the rest of the initial content.
     available: u64,
     refilled_at: MonotonicTime,
 }
 
 impl BandwidthBudget {
-    /// A full bucket of `burst` bytes that gains `rate` bytes a second.
+    /// Creates a full bucket of `burst` bytes that gains `rate` bytes per second.
     pub fn new(rate: u64, burst: u64, now: MonotonicTime) -> Self {
         Self { rate, burst, available: burst, refilled_at: now }
     }
 
-    /// Takes `bytes` for a send of `priority`; false if they have to wait for higher ones.
+    /// Acquires `bytes` for a send of `priority`. Returns false if too few bytes are available above the reserve for
+    /// higher priorities.
     pub fn try_acquire(&mut self, now: MonotonicTime, priority: SendPriority, bytes: u64) -> bool {
         self.refill(now);
         let reserve = self.burst * reserve_percent(priority) / 100;
@@ -38,12 +39,12 @@
         true
     }
 
-    /// Lets `bytes` go out at once after the start, if these are more.
+    /// Raises the initial content to `bytes`, if it is lower.
     pub fn with_initial_bytes(self, bytes: u64) -> Self {
         Self { available: self.available.max(bytes), ..self }
     }
 
-    /// Bytes that may be sent at once.
+    /// Returns the number of bytes that may be sent now.
     pub fn available(&self) -> u64 {
         self.available
     }
--- a/crates/coltsfootroute/src/membership/gossip_effect.rs
+++ b/crates/coltsfootroute/src/membership/gossip_effect.rs
@@ -1,4 +1,4 @@
-//! What the engine wants done.
+//! Effects that the engine returns to the embedding process.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 };
 
 record_type! {
-    /// An effect for the embedding process to carry out or to pass on.
+    /// Effect for the embedding process to carry out or to pass on.
     pub enum GossipEffect {
-        /// Send a datagram.
+        /// A datagram is to be sent.
         Send {
             /// Receiver.
             to: NodeId,
-            /// What to send.
+            /// Message to send.
             message: GossipMessage,
         },
         /// The members of a watched or own group changed in any way.
@@ -23,13 +23,13 @@
             /// The group.
             service: ServiceName,
         },
-        /// A member is live that was not.
+        /// A member has become live.
         MemberUp {
             /// Its group.
             service: ServiceName,
             /// The member.
             node: NodeId,
-            /// Its life.
+            /// Incarnation of the member.
             incarnation: Incarnation,
         },
         /// A live member is suspected, dead, or no longer known.
@@ -38,39 +38,38 @@
             service: ServiceName,
             /// The member.
             node: NodeId,
-            /// Suspect or dead.
+            /// State of the member: suspect or dead.
             state: MemberState,
         },
-        /// A live member left by its own word: no new work for it.
+        /// A live member announced that it leaves; it takes no new requests.
         MemberLeft {
             /// Its group.
             service: ServiceName,
             /// The member.
             node: NodeId,
         },
-        /// A peer has a higher revision of the configuration in force; repeated until caught up.
+        /// A peer has a higher revision of the configuration in force. Repeated until this node has caught up.
         RevisionBehind {
             /// The peer to fetch from.
             peer: NodeId,
-            /// Its revision.
+            /// Revision that the peer has in force.
             revision: u64,
         },
-        /// A peer holds back other requests that end their upstreams than this node.
+        /// A peer's quarantine of requests that crash their upstreams differs from this node's.
         QuarantineDiffers {
-            /// The peer to ask.
+            /// The peer to query.
             peer: NodeId,
         },
-        /// The first other node has answered, or there is none to ask.
+        /// Another node has answered for the first time.
         Joined,
-        /// The own process had stopped for a while: what it knew may be stale, and it says so by a
-        /// new incarnation.
+        /// This process was paused, so its member lists may be stale. A member of a group also raises its incarnation.
         PauseDetected {
             /// Time between two ticks.
             gap: Duration,
         },
-        /// The node refuted what was said of it, or changed its record.
+        /// This node refuted a statement about itself, or changed its own record.
         Reincarnated {
-            /// Its own incarnation from now on.
+            /// New incarnation of this node.
             incarnation: Incarnation,
         },
     }
--- a/crates/coltsfootroute/src/membership/gossip_engine.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine.rs
@@ -1,4 +1,4 @@
-//! The gossip of one node.
+//! Gossip engine: failure detection and member lists of one node.
 
 mod announcing;
 mod answering;
@@ -27,22 +27,22 @@
     time::MonotonicTime,
 };
 
-/// Time between two runs of the pruning.
+/// Interval between two prunings of tombstones and seeds.
 const PRUNE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
 
 /// Failure detector and member lists of one node.
 ///
 /// Call [`tick`](Self::tick) about ten times a second and [`receive`](Self::receive) for each datagram;
-/// carry out the effects of every call. Cost per tick does not depend on the number of nodes; it does
-/// on the size of the own group once per round of probes.
+/// carry out the effects of every call. The cost of a tick does not depend on the number of nodes, except
+/// that once per round of probes it grows with the size of the own group.
 #[derive(Clone, Debug)]
 pub struct GossipEngine {
     settings: GossipSettings,
-    /// What this node says of itself. Invariant: its incarnation never falls.
+    /// Record of this node. Invariant: its incarnation never decreases.
     own_record: MemberRecord,
     /// The own group and the watched ones. Invariant: the own group holds `own_record`.
     groups: IndexMap<ServiceName, GroupView>,
-    /// One for each group.
+    /// Pull state of each group.
     watches: IndexMap<ServiceName, WatchState>,
     seeds: SeedTable,
     contacts: IndexSet<NodeId>,
@@ -56,9 +56,11 @@
     dead_probe_due: MonotonicTime,
     cross_ping_due: MonotonicTime,
     prune_due: MonotonicTime,
-    /// Suspected members of the own group, with the life that is suspected and the time of the verdict.
+    /// Suspected members of the own group, each with the suspected incarnation and the time at which it is declared
+    /// dead.
     suspicions: IndexMap<NodeId, (Incarnation, MonotonicTime)>,
-    /// Probes failed lately, less those answered: a node that hears nobody doubts itself first.
+    /// Failed probes less answered ones, up to a bound. It prolongs suspicions, because a node whose probes all fail is
+    /// more likely to be faulty itself than the members that it probes.
     health_score: u32,
     leave_repeats: u32,
     leave_due: MonotonicTime,
@@ -66,11 +68,11 @@
     counters: GossipCounters,
     outbox: VecDeque<(NodeId, GossipMessage)>,
     revision: u64,
-    /// Who was last reported to be ahead, with its revision.
+    /// Peer last reported to have a higher revision, with that revision and the time of the report.
     last_ahead_report: Option<(NodeId, u64, MonotonicTime)>,
     /// Digest of the requests that this node holds back.
     quarantine: u64,
-    /// When a peer with another digest may be told of again.
+    /// Earliest time of the next report of a peer with another digest.
     quarantine_due: MonotonicTime,
     joined: bool,
     last_tick: MonotonicTime,
@@ -78,8 +80,8 @@
 }
 
 impl GossipEngine {
-    /// A node that knows the peers of its settings; `own_record` says who it is. Whatever upstream it names is
-    /// left out: that is for [`announce`](Self::announce).
+    /// Creates an engine that knows the peers of `settings`. `own_record` gives the node, its incarnation and its
+    /// location; an upstream that it names is ignored, see [`announce`](Self::announce).
     pub fn new(settings: GossipSettings, own_record: MemberRecord, now: MonotonicTime) -> Self {
         let budget = BandwidthBudget::new(settings.bytes_per_second, settings.burst_bytes, now)
             .with_initial_bytes(settings.start_bytes);
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<GossipEffect> {
         self.detect_pause(now, rng);
         self.drain_outbox(now);
@@ -146,7 +148,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes in a datagram that came from the address `from`.
+    /// Handles a datagram from the address `from`.
     pub fn receive(
         &mut self,
         now: MonotonicTime,
@@ -163,42 +165,43 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Sets the revision of the configuration in force, carried on every message.
+    /// Raises the revision of the configuration in force, which every message carries, to `revision` if it is lower.
     pub fn set_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Sets the digest of the requests that this node holds back, carried on every message.
+    /// Sets the digest of the requests that this node holds back, which every message carries.
     pub fn set_quarantine(&mut self, digest: u64) {
         self.quarantine = digest;
     }
 
-    /// Live members of a watched service, or of the own one: alive or suspected.
+    /// Returns the live members (alive or suspected) of a watched service or of the own one.
     pub fn members(&self, service: &str) -> impl Iterator<Item = &MemberRecord> {
         self.groups.get(service).into_iter().flat_map(GroupView::live)
     }
 
-    /// What is known of one member of a group held in detail, hidden or gone ones included.
+    /// Returns the record of one member, or `None` if the group or the member is unknown. Includes hidden, dead and
+    /// departed members.
     pub fn record(&self, service: &str, node: NodeId) -> Option<&MemberRecord> {
         self.groups.get(service)?.get(node)
     }
 
-    /// All that is known of a service, departed and dead members included.
+    /// Returns all records of a service except those of hidden members; includes departed and dead members.
     pub fn records(&self, service: &str) -> impl Iterator<Item = &MemberRecord> {
         self.groups.get(service).into_iter().flat_map(GroupView::records)
     }
 
-    /// Rises whenever the records of the service change; 0 while it is not held in detail.
+    /// Returns a number that rises whenever the records of the service change, or 0 while the node does not hold them.
     pub fn version(&self, service: &str) -> u64 {
         self.groups.get(service).map_or(0, GroupView::version)
     }
 
-    /// What this node says of itself.
+    /// Returns the record of this node.
     pub fn own_record(&self) -> &MemberRecord {
         &self.own_record
     }
 
-    /// Summary for operators.
+    /// Returns a summary for operators.
     pub fn status(&self) -> MembershipStatus {
         let mut status = MembershipStatus {
             joined: self.joined,
@@ -217,17 +220,17 @@
         status
     }
 
-    /// The group that this node is of, if its upstream has announced itself.
+    /// Returns the group of this node's upstream, or `None` before the upstream has announced itself.
     fn own_group(&self) -> Option<&GroupView> {
         self.groups.get(self.own_record.service.as_ref()?)
     }
 
-    /// Whether this node is a present member of `service`.
+    /// Whether this node is a live member of `service`.
     fn is_member_of(&self, service: &ServiceName) -> bool {
         self.own_record.state.is_live() && self.own_record.service.as_ref() == Some(service)
     }
 
-    /// Whether this node probes its group.
+    /// Whether this node is a live member of any group, and so probes that group.
     fn is_member(&self) -> bool {
         self.own_record.state.is_live() && self.own_record.service.is_some()
     }
--- a/crates/coltsfootroute/src/membership/gossip_engine/announcing.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/announcing.rs
@@ -1,4 +1,4 @@
-//! What the node says of its own upstream.
+//! Announcements and leaves of the own upstream, and the choice of watched services.
 
 use indexmap::IndexSet;
 use rand::Rng;
@@ -10,12 +10,12 @@
     time::MonotonicTime,
 };
 
-/// The departing node itself tells this many times more members than those who pass it on.
+/// Factor by which the departing node sends its leave to more members than a member that forwards it.
 const OWN_LEAVE_FACTOR: usize = 2;
 
 impl GossipEngine {
-    /// The upstream announced itself: the node is a member of its group from now on. Repeating the
-    /// same offer changes nothing; after a leave it begins a new life.
+    /// Registers the upstream: this node becomes a member of the upstream's group. Has no effect if the same offer is
+    /// already announced. After a leave, the node starts a new instance.
     pub fn announce(
         &mut self,
         now: MonotonicTime,
@@ -31,7 +31,7 @@
         }
         self.leave_repeats = 0;
         if self.own_record.state == MemberState::Left {
-            // Callers never choose an upstream again in the life that it left in.
+            // Callers never again choose an upstream in the incarnation in which it left.
             self.own_record.incarnation = self.own_record.incarnation.next_instance();
         }
         self.own_record.service = Some(offer.service);
@@ -44,15 +44,14 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The upstream takes no new work: told at once to several members and the recent watchers, and
-    /// repeated a few times. The node goes on as a watcher.
+    /// Announces that the upstream takes no new requests: notifies several members and the recent watchers
+    /// immediately, and repeats this a few times. The node continues as a watcher.
     pub fn leave(&mut self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<GossipEffect> {
         self.leave_own_group(now, rng);
         std::mem::take(&mut self.effects)
     }
 
-    /// Holds the members of these services in detail, and of no others but the own one. Counts as a
-    /// use of each.
+    /// Holds the members of exactly these services and of the own one. Counts as a use of each.
     pub fn watch(
         &mut self,
         now: MonotonicTime,
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Notes that a watched service is being called; a cold one is pulled at once.
+    /// Notes that a watched service is being called. A service not in use until now is pulled at the next tick.
     pub fn note_use(&mut self, now: MonotonicTime, service: &str) {
         let Some(watch) = self.watches.get_mut(service) else { return };
         if now.since(watch.last_used) >= self.settings.cold_after {
@@ -83,21 +82,22 @@
         watch.last_used = now;
     }
 
-    /// Notes that a call has reached a member of a watched service: it is there, however little it gossips.
+    /// Notes that a call has reached a member of a watched service, which shows that the service is available even if
+    /// its members do not answer pulls.
     pub fn note_call_reached(&mut self, now: MonotonicTime, service: &str) {
         if let Some(watch) = self.watches.get_mut(service) {
             watch.last_reached = Some(now);
         }
     }
 
-    /// Notes that a call could not reach the member of a watched service that it was for.
+    /// Notes that a call to a member of a watched service could not reach it.
     pub fn note_call_unreachable(&mut self, now: MonotonicTime, service: &str) {
         if let Some(watch) = self.watches.get_mut(service) {
             watch.last_unreachable = Some(now);
         }
     }
 
-    /// Repeats the leave, since datagrams get lost.
+    /// Repeats the leave, because datagrams may be lost.
     pub(super) fn repeat_leave(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         if self.leave_repeats == 0 || now < self.leave_due {
             return;
@@ -128,7 +128,7 @@
         self.leave_due = now + self.settings.leave_interval;
     }
 
-    /// Begins to hold a group in detail, from its entry points.
+    /// Starts to hold the members of a service, beginning with its entry points.
     fn track_group(&mut self, now: MonotonicTime, rng: &mut impl Rng, service: ServiceName) {
         if self.groups.contains_key(&service) {
             return;
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Stops holding a group, but for some entry points.
+    /// Stops holding the members of a service, except some entry points.
     fn untrack_group(&mut self, now: MonotonicTime, rng: &mut impl Rng, service: &ServiceName) {
         let seeds = self.seeds_of(now, rng, service);
         self.groups.swap_remove(service);
--- a/crates/coltsfootroute/src/membership/gossip_engine/answering.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/answering.rs
@@ -1,4 +1,4 @@
-//! Answering the messages of others.
+//! Replies to messages of other nodes.
 
 use indexmap::IndexSet;
 use rand::Rng;
@@ -12,7 +12,7 @@
 };
 
 impl GossipEngine {
-    /// Does what the message asks.
+    /// Handles the request or reply in a message.
     pub(super) fn handle_payload(
         &mut self,
         now: MonotonicTime,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Acknowledges; a node of another group also learns some members of its own.
+    /// Acknowledges a ping. If the sender belongs to another group, adds some members of that group.
     fn answer_ping(
         &mut self,
         now: MonotonicTime,
@@ -92,7 +92,7 @@
         self.send(now, SendPriority::Normal, from, GossipMessage::new(self.revision, payload));
     }
 
-    /// Names the members known here; if this node left that group, says so first.
+    /// Replies with the own record, which shows a leave of that group, and with the members known here.
     fn answer_with_seeds(
         &mut self,
         now: MonotonicTime,
@@ -128,7 +128,7 @@
     }
 }
 
-/// Packs the records of the wanted buckets into datagrams, whole buckets where they fit.
+/// Packs the records of the wanted buckets into datagrams; splits only buckets larger than a datagram.
 fn record_messages(
     revision: u64,
     now: MonotonicTime,
@@ -157,7 +157,7 @@
     messages
 }
 
-/// Adds a whole bucket, or nothing.
+/// Adds a whole bucket if it fits. Otherwise adds nothing and returns false.
 fn add_bucket(message: &mut GossipMessage, bucket: u16, updates: &[MemberUpdate]) -> bool {
     let before = message.updates.len();
     if let GossipPayload::Records { complete, .. } = &mut message.payload {
@@ -173,7 +173,7 @@
     false
 }
 
-/// Spreads a bucket that is larger than a datagram; returns the last message, which is still open.
+/// Splits a bucket that is larger than a datagram. Returns the last message, which may still have room.
 fn add_in_parts(
     messages: &mut Vec<GossipMessage>,
     updates: Vec<MemberUpdate>,
--- a/crates/coltsfootroute/src/membership/gossip_engine/joining.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/joining.rs
@@ -1,4 +1,4 @@
-//! Finding the other nodes, and staying in touch beyond the own group.
+//! Joining of the other nodes, and contact with nodes outside the own group.
 
 use std::time::Duration;
 
@@ -11,20 +11,21 @@
     time::MonotonicTime,
 };
 
-/// Nodes asked at once while none has answered.
+/// Maximum number of nodes pinged at the same time to join or to fetch their records.
 const JOIN_FANOUT: usize = 12;
-/// Most addresses kept from settings and introductions.
+/// Maximum number of addresses kept from settings and introductions.
 const MAX_CONTACTS: usize = 64;
-/// One in this many pings beyond the group goes to an address from settings or an introduction.
+/// One in this many pings outside the group, on average, goes to an address from the settings or an introduction.
 const CONTACT_PING_PERIOD: u32 = 4;
-/// Shortest time between two reports of the same higher revision.
+/// Shortest time between two reports of the same higher revision by the same peer.
 const AHEAD_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause between two peers that are asked for what they hold back: while a case spreads many differ for a moment.
+/// Shortest time between two reports of peers with a different quarantine. While a new case spreads, many peers differ
+/// for a moment.
 const QUARANTINE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl GossipEngine {
-    /// Adds addresses of nodes, read from elsewhere, to ask.
+    /// Adds addresses of nodes from another source as contacts to ping.
     pub fn introduce(&mut self, now: MonotonicTime, nodes: impl IntoIterator<Item = NodeId>) {
         for node in nodes.into_iter().filter(|node| *node != self.own_record.node) {
             self.contacts.shift_remove(&node);
@@ -36,8 +37,8 @@
         self.cross_ping_due = now;
     }
 
-    /// Asks some of `nodes` who they are, whether or not others have answered: each acknowledgement brings the
-    /// record of its sender.
+    /// Pings some of `nodes`, also if the node has already joined. Each acknowledgement carries the record of its
+    /// sender.
     pub fn ping_nodes(
         &mut self,
         now: MonotonicTime,
@@ -52,7 +53,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Asks several contacts at once until one has answered.
+    /// Pings several contacts at a time until a node has answered.
     pub(super) fn join(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         if self.joined || now < self.cross_ping_due {
             return;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Notes that another node answered.
+    /// Notes that another node has answered.
     pub(super) fn note_joined(&mut self) {
         if !self.joined {
             self.joined = true;
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Pings a random node outside the own group: carries entry points and the revision.
+    /// Pings a random node, usually of another group, to exchange entry points and revisions.
     pub(super) fn ping_other_group(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         if now < self.cross_ping_due {
             return;
@@ -96,7 +97,8 @@
         }
     }
 
-    /// A peer holds back other requests than this node: one of the two lacks something, and each asks the other.
+    /// Reports a peer that holds back other requests than this node. One of the two lacks a case, so each queries the
+    /// other.
     pub(super) fn note_quarantine(&mut self, now: MonotonicTime, peer: NodeId, digest: u64) {
         if digest == self.quarantine || digest == 0 || now < self.quarantine_due {
             return;
@@ -105,7 +107,7 @@
         self.effects.push(GossipEffect::QuarantineDiffers { peer });
     }
 
-    /// A node outside the own group; also the last resort of a pull.
+    /// Chooses a random known node or contact, or `None` if there is none; also the fallback target of a pull.
     pub(super) fn cross_group_target(
         &self,
         now: MonotonicTime,
@@ -121,7 +123,7 @@
     }
 }
 
-/// `interval`, up to a fifth shorter or longer.
+/// Returns `interval` changed by a random amount of up to a fifth in either direction.
 pub(super) fn jittered(rng: &mut impl Rng, interval: Duration) -> Duration {
     interval.mul_f64(rng.random_range(0.8..1.2))
 }
--- a/crates/coltsfootroute/src/membership/gossip_engine/merging.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/merging.rs
@@ -1,4 +1,4 @@
-//! Taking in what others say of members.
+//! Merging of records received from other nodes.
 
 use rand::Rng;
 
@@ -14,7 +14,7 @@
 };
 
 impl GossipEngine {
-    /// Takes in all records of a message; tells the sender what it got wrong.
+    /// Merges all records of a message, and sends corrections for stale ones to the sender.
     pub(super) fn merge_updates(
         &mut self,
         now: MonotonicTime,
@@ -45,8 +45,8 @@
         record.is_some_and(|record| record.state.is_live())
     }
 
-    /// Takes in one record, `authoritative` for by its subject or group; returns whether a newer one is
-    /// known here.
+    /// Merges one record, which is `authoritative` if it comes from its subject or from a member of its group. Returns
+    /// whether a newer one is known here.
     pub(super) fn merge_update(
         &mut self,
         now: MonotonicTime,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Sends records that the receiver lacks or has older.
+    /// Sends `to` records that it lacks or of which it has an older version.
     pub(super) fn send_corrections(
         &mut self,
         now: MonotonicTime,
@@ -90,14 +90,14 @@
         self.send(now, SendPriority::Normal, to, message);
     }
 
-    /// Rises above `incarnation` and says so.
+    /// Raises the own incarnation above `incarnation` and publishes the own record.
     pub(super) fn reincarnate(&mut self, now: MonotonicTime, incarnation: Incarnation) {
         self.own_record.incarnation = self.own_record.incarnation.max(incarnation).next();
         self.effects.push(GossipEffect::Reincarnated { incarnation: self.own_record.incarnation });
         self.publish_self(now);
     }
 
-    /// Puts the own record into the own group and spreads it.
+    /// Merges the own record into the own group and queues it for spreading.
     pub(super) fn publish_self(&mut self, now: MonotonicTime) {
         let Some(service) = self.own_record.service.clone() else { return };
         let Some(group) = self.groups.get_mut(&service) else { return };
@@ -106,18 +106,19 @@
         self.effects.push(GossipEffect::Changed { service });
     }
 
-    /// Refutes what is said of this node, if it would stand against what the node says itself.
-    fn refute_if_contradicted(&mut self, now: MonotonicTime, said: &MemberRecord) {
-        let same_life = said.incarnation == self.own_record.incarnation;
+    /// Raises the own incarnation if a received record of this node supersedes or contradicts the own record.
+    fn refute_if_contradicted(&mut self, now: MonotonicTime, received: &MemberRecord) {
+        let same_incarnation = received.incarnation == self.own_record.incarnation;
         let same_content =
-            said.service == self.own_record.service && said.state <= self.own_record.state;
-        let agrees = said.incarnation < self.own_record.incarnation || (same_life && same_content);
+            received.service == self.own_record.service && received.state <= self.own_record.state;
+        let agrees = received.incarnation < self.own_record.incarnation
+            || (same_incarnation && same_content);
         if !agrees {
-            self.reincarnate(now, said.incarnation);
+            self.reincarnate(now, received.incarnation);
         }
     }
 
-    /// A later life in another group, or in none, ends the membership of the earlier one.
+    /// Marks a node as departed from a group if a later incarnation of it is in another group, or in none.
     fn end_earlier_membership(
         &mut self,
         now: MonotonicTime,
@@ -139,13 +140,13 @@
         }
     }
 
-    /// What is known here of the member that `record` speaks of.
+    /// Returns the update known here about the member of `record`, or `None` if the group or the member is unknown.
     fn known_update(&self, now: MonotonicTime, record: &MemberRecord) -> Option<MemberUpdate> {
         let service = record.service.as_ref()?;
         self.groups.get(service)?.update(now, record.node)
     }
 
-    /// Follows up a change of a member: events, news, timers.
+    /// Reports a change of a member, and in the own group also queues it for spreading and sets the suspicion timer.
     fn note_change(
         &mut self,
         now: MonotonicTime,
@@ -160,7 +161,7 @@
             return;
         }
         if before.is_none() && !record.state.is_live() {
-            // An old tombstone new to this node is no news to the group.
+            // A tombstone that this node lacked is already known to the rest of the group.
             return;
         }
         self.updates.push(record.node);
@@ -173,8 +174,8 @@
         self.sync_with_first(now, record);
     }
 
-    /// Becomes responsible for what is said of the group: hidden members are probed again, and old
-    /// suspicions run out.
+    /// Starts monitoring the own group: shows hidden members so that they are probed, and starts the timers of existing
+    /// suspicions.
     pub(super) fn resume_monitoring(&mut self, now: MonotonicTime) {
         let service = self.own_record.service.as_ref();
         let Some(group) = service.and_then(|service| self.groups.get_mut(service)) else { return };
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Compares at once with the first other member found.
+    /// Schedules an immediate comparison of records when the first other member of the group is found.
     fn sync_with_first(&mut self, now: MonotonicTime, record: &MemberRecord) {
         let found_first = self.own_group().is_some_and(|group| group.live_count() == 2);
         if !found_first || !record.state.is_live() {
--- a/crates/coltsfootroute/src/membership/gossip_engine/pending_ping.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/pending_ping.rs
@@ -1,36 +1,36 @@
-//! A ping that waits for its acknowledgement.
+//! Pings that wait for their acknowledgement.
 
 use crate::{id::NodeId, time::MonotonicTime};
 
 value_type! {
-    /// Why a ping was sent.
+    /// Purpose of a ping.
     pub(super) enum PingPurpose {
-        /// To find any other node at all.
+        /// Find other nodes.
         Join,
-        /// To a random node of another group.
+        /// Exchange entry points and revisions with a random node.
         CrossGroup,
-        /// To a dead member, which may have come back.
+        /// Find out whether a dead member has come back.
         DeadProbe,
-        /// To the member of the current probe.
+        /// Probe the target of the current probe round.
         Probe,
-        /// For another member, whose probe has this sequence.
+        /// Probe a member on behalf of another member.
         Relay {
-            /// Who asked.
+            /// Member that requested the probe.
             requester: NodeId,
-            /// The asker's own sequence.
+            /// Sequence number of the requester's own probe.
             sequence: u64,
         },
     }
 }
 
 value_type! {
-    /// A ping that waits for its acknowledgement.
+    /// Ping that waits for its acknowledgement.
     pub(super) struct PendingPing {
-        /// Whom it went to.
+        /// Node that the ping was sent to.
         pub(super) target: NodeId,
-        /// Why.
+        /// Purpose of the ping.
         pub(super) purpose: PingPurpose,
-        /// When it is given up.
+        /// Time at which the ping counts as unanswered.
         pub(super) expires: MonotonicTime,
     }
 }
--- a/crates/coltsfootroute/src/membership/gossip_engine/probe_round.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/probe_round.rs
@@ -1,19 +1,19 @@
-//! The probe under way.
+//! Current probe of the failure detector.
 
 use crate::{id::NodeId, time::MonotonicTime};
 
 value_type! {
-    /// One member being probed, directly and then through others.
+    /// Probe of one member, first directly and then through other members.
     pub(super) struct ProbeRound {
-        /// The member.
+        /// Member that is probed.
         pub(super) target: NodeId,
-        /// Sequence of the ping.
+        /// Sequence number of the ping.
         pub(super) sequence: u64,
-        /// When others are asked.
+        /// Time at which other members are asked to probe the target.
         pub(super) indirect_at: MonotonicTime,
-        /// Whether they were.
+        /// Whether other members have been asked.
         pub(super) indirect_sent: bool,
-        /// When the member becomes suspect.
+        /// Time at which the target becomes suspect.
         pub(super) verdict_at: MonotonicTime,
     }
 }
--- a/crates/coltsfootroute/src/membership/gossip_engine/probing.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/probing.rs
@@ -1,4 +1,4 @@
-//! Failure detection in the own group.
+//! Failure detector of the own group.
 
 use std::time::Duration;
 
@@ -21,13 +21,14 @@
     time::MonotonicTime,
 };
 
-/// Bound of [`GossipEngine::health_score`].
+/// Maximum of [`GossipEngine::health_score`].
 const MAX_HEALTH_SCORE: u32 = 3;
-/// Most pings that wait at once; further relays are refused.
+/// Maximum number of pings that wait for an acknowledgement; further pings are not sent.
 const MAX_PENDING_PINGS: usize = 256;
 
 impl GossipEngine {
-    /// Sends a ping and waits for its acknowledgement; false if there are no bytes for it.
+    /// Sends a ping and registers it for its acknowledgement. Returns false if the bandwidth budget does not allow it
+    /// or too many pings are pending.
     pub(super) fn ping(
         &mut self,
         now: MonotonicTime,
@@ -50,7 +51,7 @@
         true
     }
 
-    /// Takes an acknowledgement of the ping `sequence`.
+    /// Handles an acknowledgement of the ping `sequence`.
     pub(super) fn note_ack(&mut self, now: MonotonicTime, sequence: u64, target: NodeId) {
         let Some(ping) = self.pings.get(&sequence).copied() else { return };
         if ping.target != target {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Gives up pings without an answer.
+    /// Removes pings that were not answered in time, and the seeds that did not answer.
     pub(super) fn expire_pings(&mut self, now: MonotonicTime) {
         let expired: Vec<_> = self
             .pings
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Moves the probe under way on, and starts the next when it is due.
+    /// Advances the current probe, and starts the next one when it is due.
     pub(super) fn advance_probe(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         match self.round {
             Some(round) if now >= round.verdict_at => self.fail_probe(now, rng, round),
@@ -99,7 +100,7 @@
         self.start_probe(now, rng);
     }
 
-    /// Probes a dead member now and then, so that both sides of a healed partition find each other.
+    /// Probes a random dead member at intervals, so that both sides of a healed partition find each other.
     pub(super) fn probe_dead(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         if now < self.dead_probe_due || !self.is_member() {
             return;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Declares suspects dead that have not refuted in time.
+    /// Declares suspects dead that have not refuted the suspicion in time.
     pub(super) fn expire_suspicions(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         let due: Vec<_> = self
             .suspicions
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Time that a suspect has to refute: longer in larger groups, and while this node hears little.
+    /// Returns the time that a suspect has to refute the suspicion: longer in larger groups, and while this node's own
+    /// probes fail.
     pub(super) fn suspicion_timeout(&self) -> Duration {
         let members = self.own_group().map_or(1, GroupView::live_count);
         let scale = (members as f64).log10().max(1.0);
@@ -142,8 +144,8 @@
         timeout.mul_f64(scale) * (1 + self.health_score)
     }
 
-    /// A gap between ticks means that this process stood still: no verdict about others, a new
-    /// incarnation for itself, and fresh knowledge before anything else.
+    /// Detects by a gap between ticks that this process was paused. Aborts the current probe, postpones suspicions,
+    /// pulls all groups again, and raises the own incarnation if this node is a member.
     pub(super) fn detect_pause(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         let gap = now.since(self.last_tick);
         if gap < self.settings.pause_gap {
@@ -182,7 +184,7 @@
         });
     }
 
-    /// The next live member in a shuffled round over the group.
+    /// Returns the next live member in a shuffled round over the group, or `None` if no other member is live.
     fn next_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
         if self.probe_order.is_empty() {
             let own_node = self.own_record.node;
--- a/crates/coltsfootroute/src/membership/gossip_engine/pulling.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/pulling.rs
@@ -1,4 +1,4 @@
-//! Keeping watched groups, and the own one, equal to what their members know.
+//! Pulls that keep the records of the watched groups, and of the own one, equal to those of their members.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
     time::MonotonicTime,
 };
 
-/// Buckets asked of one member at once; the next ones are asked of another.
+/// Maximum number of buckets requested from one member at a time; the remaining ones are left to the next pull.
 const MAX_WANTED_BUCKETS: usize = 8;
-/// A pull that brought nothing, or not all, is followed by the next after this part of the interval.
+/// Divisor of the pull interval for the next pull after one that returned nothing or not everything.
 const EAGER_PULL_DIVISOR: u32 = 4;
-/// A group of which nobody answers is pulled this many times slower.
+/// Factor by which the pull interval grows for a group of which no member answers.
 const LOST_PULL_FACTOR: u32 = 3;
-/// Wait before a pull is tried again for which there were no bytes.
+/// Delay before the retry of a pull that the bandwidth budget did not allow.
 const DEFERRED_PULL_DELAY: Duration = Duration::from_millis(200);
 
 impl GossipEngine {
@@ -34,14 +34,14 @@
         }
     }
 
-    /// A member answered that its records are the same.
+    /// Handles a member's reply that its records are the same.
     pub(super) fn handle_match(&mut self, now: MonotonicTime, service: &ServiceName) {
         if let Some(watch) = self.watches.get_mut(service) {
             watch.note_answer(now);
         }
     }
 
-    /// A member answered with the digests of its buckets: asks for those that differ.
+    /// Handles the digests of a member's buckets: requests the records of buckets that differ.
     pub(super) fn handle_buckets(
         &mut self,
         now: MonotonicTime,
@@ -70,8 +70,8 @@
         self.send(now, SendPriority::Normal, from, GossipMessage::new(self.revision, payload));
     }
 
-    /// A member sent the records of some buckets: tells it of live ones that it does not have, for its
-    /// group to check.
+    /// Handles the records of some buckets: sends the member the live records that it lacks, so that its group can
+    /// check them.
     pub(super) fn handle_records(
         &mut self,
         now: MonotonicTime,
@@ -95,7 +95,7 @@
         self.send_corrections(now, from, lacking);
     }
 
-    /// A node outside the group answered with the members that it knows.
+    /// Handles the reply of a node outside the group, which holds the members that it knows.
     pub(super) fn handle_seeds(&mut self, now: MonotonicTime, service: &ServiceName, any: bool) {
         let Some(watch) = self.watches.get_mut(service) else { return };
         watch.pending = None;
@@ -125,8 +125,8 @@
         }
     }
 
-    /// The node asked last has not answered: it is asked less, and a group of which nobody answers
-    /// for long, nor takes calls, is hidden.
+    /// Notes the target of the last pull as silent if it has not answered, so that other members are preferred. Hides a
+    /// group of which no member has answered pulls or calls for a long time.
     fn note_unanswered_pull(&mut self, now: MonotonicTime, service: &ServiceName) {
         let Some(watch) = self.watches.get_mut(service) else { return };
         let Some(target) = watch.pending.take() else { return };
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Hides the live members of a group that does not answer. Nothing is said to others about them:
-    /// this node's own link may be what is down.
+    /// Hides the live members of a group that does not answer. Sends no update about them to other nodes, because the
+    /// fault may be in this node's own connection.
     fn hide_group(&mut self, now: MonotonicTime, service: &ServiceName) {
         let Some(group) = self.groups.get_mut(service) else { return };
         let nodes: Vec<_> = group.live().map(|record| record.node).collect();
@@ -159,8 +159,8 @@
         self.effects.push(GossipEffect::Changed { service: service.clone() });
     }
 
-    /// A random live member that has not been silent; then any; then those lost; then anyone who may
-    /// know.
+    /// Chooses the target of a pull: a random live member that has not failed to answer, else any live member, else a
+    /// hidden or dead one, else any other known node. `None` if no node is known.
     fn pull_target(
         &self,
         now: MonotonicTime,
@@ -172,7 +172,7 @@
         let others =
             || group.live().map(|record| record.node).filter(|node| *node != self.own_record.node);
         let answering = others().filter(|node| !watch.silent.contains(node)).choose(rng);
-        // When all are silent, every second pull asks elsewhere.
+        // If no member answers, every second pull on average goes to a node outside the group.
         let elsewhere = rng.random_bool(0.5);
         let members = if elsewhere { None } else { others().choose(rng) };
         answering
@@ -183,8 +183,9 @@
             .or_else(|| group.recovery_candidates().choose(rng))
     }
 
-    /// Short after an unanswered pull if there is another member to ask; long for a group of which
-    /// nobody answers, so that the search for it doesn't eat the bytes of everything else.
+    /// Returns the interval until the next pull: short after an unanswered pull if there is another member to pull
+    /// from; long for a group of which no member answers, so that the search for it does not use up the bandwidth of
+    /// other traffic.
     fn pull_interval(&self, now: MonotonicTime, service: &ServiceName) -> Duration {
         let (Some(watch), Some(group)) = (self.watches.get(service), self.groups.get(service))
         else {
@@ -240,7 +241,7 @@
     }
 }
 
-/// Whether `count` buckets can be compared.
+/// Whether `count` is a valid number of buckets: a power of two up to [`MAX_BUCKETS`].
 pub(super) fn is_bucket_count(count: usize) -> bool {
     count.is_power_of_two() && count <= MAX_BUCKETS
 }
--- a/crates/coltsfootroute/src/membership/gossip_engine/spreading.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/spreading.rs
@@ -1,4 +1,4 @@
-//! Sending: what travels along, what goes first, what waits.
+//! Sending of messages: piggybacked updates, priorities and the outbox.
 
 use rand::{Rng, seq::IteratorRandom};
 
@@ -13,13 +13,13 @@
     time::MonotonicTime,
 };
 
-/// Most news that travels on one ping or acknowledgement.
+/// Maximum number of updates of the own group piggybacked on one ping or acknowledgement.
 const MAX_PIGGYBACKED_UPDATES: usize = 8;
-/// Members of a service named to a node that asks for it.
+/// Maximum number of members of a service in a reply to a node outside the group.
 pub(super) const SEEDS_PER_ANSWER: usize = 3;
 
 impl GossipEngine {
-    /// Sends if the budget has the bytes; returns whether it did.
+    /// Sends a message if the bandwidth budget allows it. Returns whether it was sent.
     pub(super) fn send(
         &mut self,
         now: MonotonicTime,
@@ -38,7 +38,7 @@
         true
     }
 
-    /// Sends, or keeps the message until there are bytes for it.
+    /// Sends a message, or queues it until the bandwidth budget allows it. Drops it if the outbox is full.
     pub(super) fn send_or_queue(
         &mut self,
         now: MonotonicTime,
@@ -56,7 +56,7 @@
         self.outbox.push_back((to, message));
     }
 
-    /// Sends what waited, in its order, as far as the bytes reach.
+    /// Sends the queued messages in order, as far as the bandwidth budget allows.
     pub(super) fn drain_outbox(&mut self, now: MonotonicTime) {
         while let Some((to, message)) = self.outbox.pop_front() {
             if !self.send(now, SendPriority::Normal, to, message.clone()) {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// A ping or acknowledgement for `to`: with it travel the own record, what is wrongly believed of
-    /// the receiver, and news of the group or entry points elsewhere.
+    /// Creates a ping or acknowledgement for `to`. Adds the own record, the record of the receiver if it is not alive
+    /// in the own group, and updates of the group or entry points to other services.
     pub(super) fn message_to(
         &mut self,
         now: MonotonicTime,
@@ -86,7 +86,8 @@
         message
     }
 
-    /// Tells some random members of the own group and its recent watchers about `node`, at once.
+    /// Sends the record of `node` immediately to some random members of the own group and, with `to_pullers`, to its
+    /// recent watchers.
     pub(super) fn push_eagerly(
         &mut self,
         now: MonotonicTime,
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Tells the recent watchers of a newcomer, as far as there are bytes: what is left out comes by the next
-    /// pull. Only those do so whom the newcomer has told itself.
+    /// Sends the record of a new member to the recent watchers, as far as the bandwidth budget allows; the others
+    /// receive it by their next pull. Only members to which the new member sent its record itself call this.
     pub(super) fn push_to_watchers(&mut self, now: MonotonicTime, node: NodeId) {
         let Some(update) = self.own_group().and_then(|group| group.update(now, node)) else {
             return;
@@ -124,13 +125,13 @@
         }
     }
 
-    /// Nodes that have pulled the own group of late, the slow ones included.
+    /// Returns the nodes that have pulled the own group recently, including those that pull at the long interval.
     fn recent_pullers(&self, now: MonotonicTime) -> Vec<NodeId> {
         let memory = self.settings.cold_pull_interval + self.settings.pull_interval * 2;
         self.pullers.since(now - memory).collect()
     }
 
-    /// Random live members of the own group, without this node.
+    /// Returns at most `count` random live members of the own group, without this node.
     pub(super) fn random_members(&self, rng: &mut impl Rng, count: usize) -> Vec<NodeId> {
         let Some(group) = self.own_group() else { return Vec::new() };
         let others =
@@ -138,7 +139,7 @@
         others.sample(rng, count)
     }
 
-    /// Some live members of `service`, from what is known of it.
+    /// Returns some live members of `service`, from its group if it is held, else from the seeds.
     pub(super) fn seeds_of(
         &self,
         now: MonotonicTime,
@@ -151,13 +152,14 @@
         }
     }
 
-    /// Times that news of the own group is passed on.
+    /// Returns the number of times that an update of the own group is sent.
     pub(super) fn transmit_limit(&self) -> u32 {
         let members = self.own_group().map_or(1, GroupView::live_count) as u32;
         self.settings.retransmit_factor * (members + 1).next_power_of_two().ilog2().max(1)
     }
 
-    /// What stands in the own group against the receiver, so that it can refute.
+    /// Returns the record of the receiver if the own group does not hold it for alive, so that the receiver can refute
+    /// it.
     fn record_to_refute(&self, now: MonotonicTime, to: NodeId) -> Option<MemberUpdate> {
         let group = self.own_group()?;
         let accused = group.get(to)?.state != MemberState::Alive;
@@ -176,13 +178,13 @@
         let nodes: Vec<_> = news.iter().map(|update| update.record.node).collect();
         let added = message.fill(news);
         let limit = self.transmit_limit();
-        // The own record is on every ping anyway.
+        // Every ping carries the own record.
         for node in nodes.into_iter().take(added).chain([self.own_record.node]) {
             self.updates.note_sent(node, limit);
         }
     }
 
-    /// Entry points to hand to a node of another group: mostly of third services, one of each own.
+    /// Chooses entry points to send to a node of another group: random seeds, and a member of one held group.
     fn sample_seeds(&self, now: MonotonicTime, rng: &mut impl Rng) -> Vec<MemberUpdate> {
         let mut seeds = self.seeds.sample(now, rng, self.settings.seeds_per_ping);
         if let Some((service, group)) = self.groups.iter().choose(rng) {
@@ -191,7 +193,8 @@
         seeds
     }
 
-    /// Random live members of a group, if what is known of it is fresh.
+    /// Returns random alive members of a group, or none if this node is not a member of it and its last pull went
+    /// unanswered.
     fn sample_group(
         &self,
         rng: &mut impl Rng,
--- a/crates/coltsfootroute/src/membership/gossip_engine/watch_state.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/watch_state.rs
@@ -1,4 +1,4 @@
-//! The pulling of one group.
+//! Pull state of one group.
 
 use std::time::Duration;
 
@@ -6,27 +6,27 @@
 
 use crate::{id::NodeId, time::MonotonicTime};
 
-/// When a group is pulled next, and who did not answer.
+/// Time of the next pull of a group, and the nodes that did not answer.
 #[derive(Clone, Debug)]
 pub(super) struct WatchState {
     /// Time of the next pull.
     pub(super) due: MonotonicTime,
-    /// When the service was last used; decides between hot and cold.
+    /// Time at which the service was last used; decides between the short and the long pull interval.
     pub(super) last_used: MonotonicTime,
-    /// The node asked that has not answered yet.
+    /// Target of the last pull, if it has not answered yet.
     pub(super) pending: Option<NodeId>,
-    /// Nodes that did not answer since the last answer of any.
+    /// Nodes that have not answered a pull since a member last answered.
     pub(super) silent: IndexSet<NodeId>,
-    /// When a member last answered, or the watch began.
+    /// Time at which a member last answered, or at which the watch began or the process resumed from a pause.
     pub(super) last_answer: MonotonicTime,
-    /// When a call of this node last reached a member.
+    /// Time at which a call of this node last reached a member.
     pub(super) last_reached: Option<MonotonicTime>,
-    /// When a call of this node last failed to reach a member.
+    /// Time at which a call of this node last failed to reach a member.
     pub(super) last_unreachable: Option<MonotonicTime>,
 }
 
 impl WatchState {
-    /// A watch that pulls at once and counts as used.
+    /// Creates a watch that pulls immediately and whose service counts as in use.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             due: now,
@@ -39,9 +39,9 @@
         }
     }
 
-    /// Whether the group may be gone: nobody has answered a pull or a call for `silence`, and since the last
-    /// answer a call has failed to reach a member. A member out of bytes is silent as well, so that silence
-    /// alone proves nothing.
+    /// Whether the group may be gone: no member has answered a pull or a call for `silence`, and a call has failed to
+    /// reach a member since the last answer to a pull. Unanswered pulls alone are no proof, because a member that has
+    /// used up its bandwidth budget does not answer either.
     pub(super) fn may_be_gone(&self, now: MonotonicTime, silence: Duration) -> bool {
         let is_silent = |heard: MonotonicTime| now.since(heard) >= silence;
         is_silent(self.last_answer)
@@ -49,7 +49,7 @@
             && self.last_unreachable.is_some_and(|failed| failed >= self.last_answer)
     }
 
-    /// Notes an answer of a member of the group.
+    /// Notes an answer to a pull by a member of the group.
     pub(super) fn note_answer(&mut self, now: MonotonicTime) {
         self.pending = None;
         self.silent.clear();
--- a/crates/coltsfootroute/src/membership/gossip_kind.rs
+++ b/crates/coltsfootroute/src/membership/gossip_kind.rs
@@ -1,27 +1,27 @@
-//! Kinds of messages, for counting.
+//! Kinds of gossip messages, for counters.
 
 value_type! {
     /// Kind of a gossip message.
     pub enum GossipKind {
         /// Probe.
         Ping,
-        /// Answer to a probe.
+        /// Acknowledgement of a probe.
         Ack,
         /// Request to probe a third node.
         PingRequest,
         /// Comparison of a group's digest.
         Pull,
-        /// The digests are equal.
+        /// Reply to a pull whose digest is equal.
         PullMatch,
-        /// Digests of the group's buckets.
+        /// Reply to a pull whose digest differs: digests of the group's buckets.
         PullBuckets,
         /// Request for the records of some buckets.
         PullRecords,
         /// Records of some buckets.
         Records,
-        /// Answer of a node that is not of the group: the members that it knows.
+        /// Reply of a node outside the group: the members that it knows.
         Seeds,
-        /// Updates sent unasked.
+        /// Unsolicited updates.
         Push,
     }
 }
@@ -41,7 +41,7 @@
         Self::Push,
     ];
 
-    /// Name for logs and metrics.
+    /// Returns the name for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ping => "ping",
--- a/crates/coltsfootroute/src/membership/gossip_message.rs
+++ b/crates/coltsfootroute/src/membership/gossip_message.rs
@@ -5,18 +5,18 @@
 use super::{GossipPayload, MemberUpdate, member_update::packed_bytes};
 use crate::freshness::StoreTime;
 
-/// Largest datagram, in bytes of payload: passes every usual path unfragmented.
+/// Maximum payload of a datagram, in bytes; passes all common network paths without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Bytes of the IP and UDP headers, counted with each datagram.
 pub const DATAGRAM_OVERHEAD_BYTES: usize = 28;
 
 /// Bytes of the frame: segment table, root, list pointers.
 const FRAME_BYTES: usize = 28;
-/// Most bytes of the digest, which is not known until the message is sent.
+/// Maximum size of the quarantine digest, in bytes. The digest is not known until the message is sent.
 const QUARANTINE_BYTES: usize = 9;
-/// Most bytes of the confirmation, which is not known until the message is sent either.
+/// Maximum size of the confirmation, in bytes. The confirmation is not known until the message is sent.
 const CONFIRMED_BYTES: usize = 9;
-/// Bytes that a name costs beside its text: pointer and padding.
+/// Bytes that a name takes in addition to its text: pointer and padding.
 const NAME_OVERHEAD_BYTES: usize = 6;
 
 record_type! {
@@ -24,24 +24,25 @@
     pub struct GossipMessage {
         /// Revision of the configuration that the sender has in force.
         pub revision: u64,
-        /// Digest of the requests that the sender holds back; set as the message is sent.
+        /// Digest of the requests that the sender holds back; set when the message is sent.
         pub quarantine: u64,
-        /// When the store's clock showed this, no revision was newer than `revision`; set as the message is sent.
+        /// Time by the store's clock at which no revision was newer than `revision`; set when the message is sent.
+        /// `None` if the sender has no such proof.
         pub confirmed: Option<StoreTime>,
-        /// What the message asks or answers.
+        /// Request or reply that the message carries.
         pub payload: GossipPayload,
-        /// Records that travel along.
+        /// Records sent along with the payload.
         pub updates: Vec<MemberUpdate>,
     }
 }
 
 impl GossipMessage {
-    /// A message without updates.
+    /// Creates a message without updates.
     pub fn new(revision: u64, payload: GossipPayload) -> Self {
         Self { revision, quarantine: 0, confirmed: None, payload, updates: Vec::new() }
     }
 
-    /// Upper bound of the encoded size, in bytes, headers of IP and UDP not included.
+    /// Returns an upper bound of the encoded size, in bytes, without the IP and UDP headers.
     pub fn wire_bytes(&self) -> usize {
         let mut names = IndexSet::new();
         if let Some(service) = self.payload.service() {
@@ -61,8 +62,8 @@
             + updates
     }
 
-    /// Adds updates, in their order, as long as the datagram stays within its bound; returns how many
-    /// fitted.
+    /// Adds updates in order until the next one would exceed the maximum datagram size. Returns the number of updates
+    /// added.
     pub fn fill(&mut self, updates: impl IntoIterator<Item = MemberUpdate>) -> usize {
         let mut added = 0;
         for update in updates {
--- a/crates/coltsfootroute/src/membership/gossip_payload.rs
+++ b/crates/coltsfootroute/src/membership/gossip_payload.rs
@@ -1,4 +1,4 @@
-//! What a gossip message asks or answers.
+//! Payload of a gossip message: the request or reply that it carries.
 
 use super::{
     GossipKind,
@@ -6,11 +6,11 @@
 };
 use crate::{id::NodeId, name::ServiceName};
 
-/// Bytes of the kind, the number of the service's name and that of buckets.
+/// Bytes of the kind, the index of the service's name and the number of buckets.
 const KIND_BYTES: usize = 8;
-/// Bytes of an address beside its IP: pointer and port.
+/// Bytes of an address in addition to its IP: pointer and port.
 const ADDRESS_BYTES: usize = 10;
-/// Bytes of a list beside its entries.
+/// Bytes of a list in addition to its entries.
 const LIST_BYTES: usize = 8;
 /// Bytes of one digest of a bucket.
 const DIGEST_BYTES: usize = 5;
@@ -18,47 +18,47 @@
 const INDEX_BYTES: usize = 3;
 
 record_type! {
-    /// The purpose of a message; records travel beside it in the message.
+    /// Request or reply; the records are in the updates of the message.
     pub enum GossipPayload {
         /// Probe; answered by an [`Ack`](Self::Ack) of the same sequence.
         Ping {
-            /// Chosen by the sender.
+            /// Sequence number chosen by the sender.
             sequence: u64,
         },
         /// `target` answered the probe `sequence`.
         Ack {
-            /// The sequence of the probe.
+            /// Sequence number of the probe.
             sequence: u64,
-            /// The node that is thereby known to answer.
+            /// The node that answered.
             target: NodeId,
         },
-        /// Probe `target` for me.
+        /// Request to probe `target` on behalf of the sender.
         PingRequest {
-            /// Chosen by the asking node.
+            /// Sequence number chosen by the requesting node.
             sequence: u64,
             /// The node to probe.
             target: NodeId,
         },
-        /// The live records of `service` that I hold have this digest.
+        /// Request to compare the live records of `service` with those of the sender, by digest.
         Pull {
             /// The group.
             service: ServiceName,
             /// XOR of the hashes of the live records.
             digest: u64,
         },
-        /// Mine are the same.
+        /// Reply to a pull: the receiver of the pull has the same digest.
         PullMatch {
             /// The group.
             service: ServiceName,
         },
-        /// Mine differ; these are the digests by bucket.
+        /// Reply to a pull: the digests differ; carries the digest of each bucket.
         PullBuckets {
             /// The group.
             service: ServiceName,
-            /// A power of two many digests, cut to 32 bits.
+            /// Digests by bucket, truncated to 32 bits; their number is a power of two.
             digests: Vec<u32>,
         },
-        /// Send the records of these buckets.
+        /// Request for the records of some buckets.
         PullRecords {
             /// The group.
             service: ServiceName,
@@ -76,18 +76,18 @@
             /// Buckets of which this message holds every record.
             complete: Vec<u16>,
         },
-        /// I am not of that group; the members that I know are in the updates.
+        /// Reply to a pull from a node outside the group; the updates hold the members that it knows.
         Seeds {
             /// The group.
             service: ServiceName,
         },
-        /// Only the updates matter.
+        /// Unsolicited updates; the message carries no request or reply.
         Push,
     }
 }
 
 impl GossipPayload {
-    /// Kind of the message.
+    /// Returns the kind of the message.
     pub fn kind(&self) -> GossipKind {
         match self {
             Self::Ping { .. } => GossipKind::Ping,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The service that the message speaks of, if any.
+    /// Returns the service that the message refers to, or `None` if it refers to none.
     pub fn service(&self) -> Option<&ServiceName> {
         match self {
             Self::Pull { service, .. }
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Upper bound of its size on the wire, in bytes, the service's name not included.
+    /// Returns an upper bound of the size on the wire, in bytes, without the service's name.
     pub(crate) fn wire_bytes(&self) -> usize {
         KIND_BYTES
             + match self {
--- a/crates/coltsfootroute/src/membership/gossip_settings.rs
+++ b/crates/coltsfootroute/src/membership/gossip_settings.rs
@@ -1,76 +1,77 @@
-//! Settings of the engine.
+//! Settings of the gossip engine.
 
 use std::time::Duration;
 
 use crate::id::NodeId;
 
 record_type! {
-    /// Intervals and bounds of the gossip; the defaults suit 18,000 nodes in groups of about 37.
+    /// Intervals and limits of the gossip. The defaults suit 18,000 nodes in groups of about 37.
     pub struct GossipSettings {
-        /// Nodes to ask first, from the process's settings.
+        /// Nodes to contact first, from the settings of the process.
         pub peers: Vec<NodeId>,
-        /// Time between two probes of the own group.
+        /// Interval between two probes of the own group.
         pub probe_interval: Duration,
-        /// Time to wait for an acknowledgement before others are asked to probe. Below
+        /// Time to wait for an acknowledgement before other members are asked to probe. Must be less than
         /// `probe_interval`.
         pub ack_timeout: Duration,
-        /// Members asked to probe for us.
+        /// Number of members asked to probe on behalf of this node.
         pub indirect_probes: usize,
-        /// Time that a suspected member has to refute, in probe intervals per power of ten of the
-        /// group's size.
+        /// Time that a suspected member has to refute the suspicion, in probe intervals. Multiplied by the decimal
+        /// logarithm of the group's size, if that is above 1.
         pub suspicion_rounds: u32,
-        /// Time between two pulls of a watched service in use.
+        /// Interval between two pulls of a watched service in use.
         pub pull_interval: Duration,
-        /// Most groups held in detail that are all pulled at the short interval, used or not.
+        /// Maximum number of groups, the own one included, up to which all watched services are pulled at
+        /// `pull_interval`, whether they are in use or not.
         pub max_hot_watches: usize,
-        /// Time between two pulls of a watched service not in use, beyond that number of groups.
+        /// Interval between two pulls of a watched service not in use, with more than `max_hot_watches` groups.
         pub cold_pull_interval: Duration,
-        /// Time without use after which a watched service is cold.
+        /// Time without use after which a watched service counts as not in use (cold).
         pub cold_after: Duration,
-        /// Time between two comparisons with a member of the own group.
+        /// Interval between two comparisons of records with a member of the own group.
         pub sync_interval: Duration,
-        /// Time without any answer from a watched service, to pulls or calls, after which its members are hidden
-        /// if a call has failed to reach one.
+        /// Time without any answer from a watched service, to pulls or calls, after which its members are hidden.
+        /// They are hidden only if a call has failed to reach one of them.
         pub hide_after: Duration,
-        /// Time between two pings outside the own group.
+        /// Interval between two pings of nodes outside the own group.
         pub cross_group_interval: Duration,
-        /// Time between two probes of dead members of the own group.
+        /// Interval between two probes of dead members of the own group.
         pub dead_probe_interval: Duration,
-        /// Time between two ticks that shows that the process had stopped.
+        /// Shortest time between two ticks that counts as a pause of the process.
         pub pause_gap: Duration,
-        /// News is passed on this many times per power of two of the group's size.
+        /// Number of times that an update is sent, per power of two of the group's size.
         pub retransmit_factor: u32,
-        /// How long dead and departed members are remembered.
+        /// Time for which dead and departed members are remembered.
         pub tombstone_retention: Duration,
-        /// Most dead and departed members remembered in one group.
+        /// Maximum number of dead and departed members remembered in one group.
         pub max_tombstones: usize,
-        /// Most members held of one group.
+        /// Maximum number of members held of one group.
         pub max_members: usize,
-        /// Members that a leave is passed to at once by each that hears of it first.
+        /// Number of members to which each member forwards a leave immediately when it first receives it.
         pub eager_fanout: usize,
-        /// Times that the departing node repeats its leave.
+        /// Number of times that the departing node repeats its leave.
         pub leave_rounds: u32,
-        /// Time between these.
+        /// Interval between these repeats.
         pub leave_interval: Duration,
-        /// Watchers remembered, to be told of a leave.
+        /// Maximum number of watchers remembered, which are notified of leaves.
         pub max_pullers: usize,
-        /// Entry points kept for each service outside the detail.
+        /// Maximum number of entry points for each service whose members are not held.
         pub seeds_per_service: usize,
-        /// Most services with entry points.
+        /// Maximum number of services with entry points.
         pub max_seed_services: usize,
-        /// Age at which an entry point that was not confirmed is dropped.
+        /// Age at which an unconfirmed entry point is dropped.
         pub seed_max_age: Duration,
-        /// Entry points that travel on a ping to another group.
+        /// Number of entry points sent with a ping to another group.
         pub seeds_per_ping: usize,
-        /// Control bytes per second, headers included.
+        /// Maximum rate of control traffic, in bytes per second, headers included.
         pub bytes_per_second: u64,
-        /// Control bytes that may go out at once.
+        /// Maximum burst of control traffic, in bytes.
         pub burst_bytes: u64,
-        /// The same after a start, when a node learns all that it watches and answers others that do. Where all nodes of
-        /// a deployment of 194 started together and had `burst_bytes` only, they knew 68 to 82 in a hundred of the
-        /// members ten seconds later, and overloaded those they knew.
+        /// Maximum burst after a start, in bytes, when a node fetches the members of all services that it watches and
+        /// answers other nodes that do so. When all nodes of a deployment of 194 started together with `burst_bytes`
+        /// only, they knew 68 to 82 percent of the members ten seconds later, and overloaded those.
         pub start_bytes: u64,
-        /// Most datagrams waiting for bytes.
+        /// Maximum number of datagrams waiting for bandwidth.
         pub max_outbox: usize,
     }
 }
@@ -113,17 +114,17 @@
 }
 
 impl GossipSettings {
-    /// The defaults, without peers.
+    /// Creates the default settings, without peers.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Asks `peers` first.
+    /// Sets the nodes to contact first.
     pub fn with_peers(self, peers: impl IntoIterator<Item = NodeId>) -> Self {
         Self { peers: peers.into_iter().collect(), ..self }
     }
 
-    /// Bounds the control bytes, also at the start.
+    /// Limits the control traffic; `burst_bytes` also applies after the start.
     pub fn with_bandwidth(self, bytes_per_second: u64, burst_bytes: u64) -> Self {
         Self { bytes_per_second, burst_bytes, start_bytes: burst_bytes, ..self }
     }
--- a/crates/coltsfootroute/src/membership/group_view.rs
+++ b/crates/coltsfootroute/src/membership/group_view.rs
@@ -1,4 +1,4 @@
-//! The members of one service, as one node knows them.
+//! Members of one service as known to one node.
 
 use std::{cmp::Ordering, time::Duration};
 
@@ -7,35 +7,36 @@
 use super::{MemberRecord, MemberState, MemberUpdate};
 use crate::{id::NodeId, time::MonotonicTime};
 
-/// Most buckets that a group's records are spread over for comparison.
+/// Maximum number of buckets among which a group's records are divided for comparison.
 pub const MAX_BUCKETS: usize = 256;
-/// Records per bucket aimed at: a bucket fits into one datagram.
+/// Target number of records per bucket, so that a bucket fits into one datagram.
 const RECORDS_PER_BUCKET: usize = 8;
 
 value_type! {
-    /// What a merge did.
+    /// Outcome of a merge.
     pub enum MergeOutcome {
-        /// The statement stands now; before it the member was in this state, or unknown.
+        /// The update was applied. Holds the previous state of the member, or `None` if it was unknown or hidden.
         Changed(Option<MemberState>),
-        /// It was known.
+        /// The record was already known.
         Same,
-        /// What is known is newer.
+        /// The known record is newer.
         Stale,
         /// There is no room for another member.
         Full,
     }
 }
 
-/// A record with what is derived from it.
+/// A record with the values derived from it.
 #[derive(Clone, Debug)]
 struct MemberEntry {
     record: MemberRecord,
     hash: u64,
     /// Bucket among [`MAX_BUCKETS`].
     bucket: u8,
-    /// Of a member that is not present: when it is forgotten, by the age that came with the statement.
+    /// Time at which a member that is not present is forgotten; depends on the age of the update.
     expires: MonotonicTime,
-    /// Nobody of the group answers this node: kept only to judge later statements by.
+    /// Whether the member is hidden because nobody in its group answers this node. The record is kept only for the
+    /// comparison with later updates.
     hidden: bool,
 }
 
@@ -45,27 +46,27 @@
     }
 }
 
-/// Members of one service by node, with digests kept up incrementally.
+/// Members of one service by node, with digests that are updated incrementally.
 ///
-/// The digests cover live members only: tombstones are forgotten at different times in different
-/// places and must not make views differ. About 200 bytes a record, and 2 KB for the buckets.
+/// The digests cover live members only, because nodes forget tombstones at different times and their views must not
+/// differ for that. Takes about 200 bytes per record, and 2 KB for the buckets.
 #[derive(Clone, Debug)]
 pub struct GroupView {
     members: IndexMap<NodeId, MemberEntry>,
-    /// Invariant: the XOR of the hashes of the live records of each bucket.
+    /// Invariant: the XOR of the hashes of the live records of each bucket, without hidden ones.
     buckets: Box<[u64; MAX_BUCKETS]>,
     /// Invariant: the XOR of `buckets`.
     digest: u64,
-    /// Invariant: the number of live records.
+    /// Invariant: the number of live records, without hidden ones.
     live: usize,
     version: u64,
     max_members: usize,
-    /// How long a dead or departed member is remembered.
+    /// Time for which a dead or departed member is remembered.
     retention: Duration,
 }
 
 impl GroupView {
-    /// An empty group of at most `max_members` records, that remembers dead and departed ones for
+    /// Creates an empty group of at most `max_members` records that remembers dead and departed members for
     /// `retention`.
     pub fn new(max_members: usize, retention: Duration) -> Self {
         Self {
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Takes in a statement if it is newer in the merge order. A `authoritative` one, which comes from the
-    /// member itself or from its group, also shows a hidden member again.
+    /// Applies an update if it is newer in the merge order. An `authoritative` update, which comes from the member
+    /// itself or from its group, also shows a hidden member again if it is equal.
     pub fn merge(
         &mut self,
         now: MonotonicTime,
@@ -102,14 +103,14 @@
         MergeOutcome::Changed(before)
     }
 
-    /// Hides a live member: neither shown nor passed on, but remembered.
+    /// Hides a live member: its record is kept, but neither shown nor passed on.
     pub fn hide(&mut self, now: MonotonicTime, node: NodeId) {
         if let Some(record) = self.get(node).cloned() {
             self.insert_entry(record, now + self.retention, true);
         }
     }
 
-    /// Shows the hidden members again: for a node that probes them itself from now on.
+    /// Shows the hidden members again; for a node that starts to probe them itself.
     pub fn unhide_all(&mut self, now: MonotonicTime) {
         let hidden = self.members.values().filter(|entry| entry.hidden);
         for record in hidden.map(|entry| entry.record.clone()).collect::<Vec<_>>() {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Members that may be back: hidden or dead.
+    /// Returns the members that may have come back: those hidden or dead.
     pub fn recovery_candidates(&self) -> impl Iterator<Item = NodeId> {
         let lost = self
             .members
@@ -126,7 +127,7 @@
         lost.map(|entry| entry.record.node)
     }
 
-    /// Forgets absent members past their retention, and the oldest beyond `limit`.
+    /// Removes members that are not present once their retention has passed, and the oldest of them beyond `limit`.
     pub fn prune(&mut self, now: MonotonicTime, limit: usize) {
         let tombstones = self.tombstones().map(|entry| (entry.expires, entry.record.node));
         let mut tombstones: Vec<_> = tombstones.collect();
@@ -139,48 +140,48 @@
         }
     }
 
-    /// One record, live or not.
+    /// Returns the record of a member, live or not, or `None` if the member is unknown.
     pub fn get(&self, node: NodeId) -> Option<&MemberRecord> {
         self.members.get(&node).map(|entry| &entry.record)
     }
 
-    /// The statement to pass on about `node`.
+    /// Returns the update to pass on about `node`, or `None` if the member is unknown.
     pub fn update(&self, now: MonotonicTime, node: NodeId) -> Option<MemberUpdate> {
         self.members.get(&node).map(|entry| self.entry_update(now, entry))
     }
 
-    /// All records but the hidden ones, tombstones included.
+    /// Returns all records except the hidden ones, tombstones included.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().filter(|entry| !entry.hidden).map(|entry| &entry.record)
     }
 
-    /// Live records: alive or suspected.
+    /// Returns the live records (alive or suspected), without hidden ones.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records().filter(|record| record.state.is_live())
     }
 
-    /// Number of live records.
+    /// Returns the number of live records, without hidden ones.
     pub fn live_count(&self) -> usize {
         self.live
     }
 
-    /// Rises with each change of a record.
+    /// Returns a number that rises with each change of a record.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// XOR of the hashes of the live records.
+    /// Returns the XOR of the hashes of the live records.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Number of buckets that suits the size of the group: a power of two.
+    /// Returns the number of buckets that suits the size of the group, a power of two up to [`MAX_BUCKETS`].
     pub fn bucket_count(&self) -> usize {
         let buckets = self.live.div_ceil(RECORDS_PER_BUCKET).next_power_of_two();
         buckets.min(MAX_BUCKETS)
     }
 
-    /// Digests of `count` buckets, a power of two up to [`MAX_BUCKETS`], cut to 32 bits.
+    /// Returns the digests of `count` buckets, truncated to 32 bits. `count` is a power of two up to [`MAX_BUCKETS`].
     pub fn bucket_digests(&self, count: usize) -> Vec<u32> {
         let mut digests = vec![0_u64; count];
         for (bucket, digest) in self.buckets.iter().enumerate() {
@@ -189,7 +190,8 @@
         digests.into_iter().map(|digest| digest as u32).collect()
     }
 
-    /// Statements about all members of some buckets out of `count`, by bucket.
+    /// Returns the updates to pass on about all members of the `wanted` buckets out of `count`, by bucket; leaves out
+    /// hidden members.
     pub fn bucket_updates(
         &self,
         now: MonotonicTime,
@@ -223,7 +225,7 @@
         self.version += 1;
     }
 
-    /// Adds a live record's hash to the digests, or takes it out again.
+    /// Adds the hash of a live record to the digests, or removes it.
     fn toggle_digests(&mut self, entry: &MemberEntry) {
         self.buckets[usize::from(entry.bucket)] ^= entry.hash;
         self.digest ^= entry.hash;
--- a/crates/coltsfootroute/src/membership/instance_incarnation.rs
+++ b/crates/coltsfootroute/src/membership/instance_incarnation.rs
@@ -1,11 +1,11 @@
-//! One life of an upstream.
+//! Incarnation of an upstream instance.
 
 name_type! {
-    /// Name that an upstream gives itself. It may keep it when it starts again.
+    /// Name that an upstream gives itself. It may keep the name when it restarts.
     InstanceName
 }
 
-/// When an upstream started, by its own time of day: milliseconds since the Unix epoch.
+/// Start time of an upstream by its own wall clock, in milliseconds since the Unix epoch.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -13,27 +13,27 @@
 pub struct StartTime(pub u64);
 
 record_type! {
-    /// One life of an upstream, from a start to its end.
+    /// One run of an upstream process, from its start to its exit.
     pub struct InstanceIncarnation {
         /// Name of the upstream.
         pub name: InstanceName,
-        /// When it started; `None` where it does not say so, and then has another name in each life.
+        /// Start time. `None` if the upstream does not report it; it then has another name in each incarnation.
         pub started: Option<StartTime>,
     }
 }
 
 impl InstanceIncarnation {
-    /// A life of an upstream that does not say when it started.
+    /// Creates an incarnation without a start time.
     pub fn new(name: InstanceName) -> Self {
         Self { name, started: None }
     }
 
-    /// Says when it started.
+    /// Sets the start time.
     pub fn with_started(self, started: Option<StartTime>) -> Self {
         Self { started, ..self }
     }
 
-    /// Whether it is known to have started before `other`.
+    /// Whether this incarnation is known to have started before `other`. False if either has no start time.
     pub(super) fn is_before(&self, other: &Self) -> bool {
         matches!((self.started, other.started), (Some(own), Some(others)) if own < others)
     }
--- a/crates/coltsfootroute/src/membership/instance_tracker.rs
+++ b/crates/coltsfootroute/src/membership/instance_tracker.rs
@@ -1,32 +1,33 @@
-//! What the upstream beside a node has said of itself, over late and reordered heartbeats.
+//! Tracking of the upstream instances beside a node, with late and reordered heartbeats.
 
 use indexmap::IndexMap;
 
 use super::{InstanceIncarnation, InstanceName, StartTime};
 
-/// Names of departed upstreams remembered at most; the oldest are forgotten first.
+/// Maximum number of names of departed upstreams that are remembered; the oldest are forgotten first.
 const MAX_DEPARTED: usize = 64;
 
 value_type! {
-    /// What a heartbeat is worth.
+    /// Classification of a heartbeat.
     pub enum HeartbeatVerdict {
-        /// It is the newest word of the present upstream.
+        /// The newest heartbeat of the current incarnation.
         Fresh,
-        /// A newer heartbeat of the same life was heard before.
+        /// A heartbeat no newer than one received earlier from the same incarnation.
         Stale,
-        /// Its life has ended, or began before that of the present upstream.
+        /// A heartbeat of an incarnation that has departed, or that started before the current one.
         Departed,
     }
 }
 
-/// Orders the heartbeats of the upstreams that one host has had.
+/// Tracks which upstream incarnation of a host is current, from the heartbeats that arrive.
 ///
-/// Invariants: a life that has departed never returns; the sequence of the present life rises; while the present life is
-/// heard, none that began before it takes its place, however late its heartbeats come.
+/// Invariants: an incarnation that has departed never returns; the sequence number of the current incarnation rises;
+/// while heartbeats of the current incarnation arrive, no incarnation that started earlier replaces it, however late
+/// its heartbeats arrive.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceTracker {
     current: Option<CurrentInstance>,
-    /// Lives that have departed: those of a name that began until then, and those that do not say when they began.
+    /// Departed incarnations by name: all that started by the given time, and all that report no start time.
     departed: IndexMap<InstanceName, Option<StartTime>>,
 }
 
@@ -34,23 +35,24 @@
 struct CurrentInstance {
     incarnation: InstanceIncarnation,
     sequence: u64,
-    /// Whether it has fallen silent. Then any other life may take its place: a time of day that was set back makes a new
-    /// life look old.
+    /// Whether its heartbeats have stopped. Any other incarnation may then replace it, because a clock that was set
+    /// back makes a new incarnation look old.
     is_silent: bool,
 }
 
 impl InstanceTracker {
-    /// A ledger that has heard nothing.
+    /// Creates a tracker that has received no heartbeat.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The life that was heard last and has not departed.
+    /// Returns the current incarnation, or `None` if there is none.
     pub fn current(&self) -> Option<&InstanceIncarnation> {
         self.current.as_ref().map(|current| &current.incarnation)
     }
 
-    /// Takes in a heartbeat. A new life takes the place of the present one.
+    /// Classifies a heartbeat. A new incarnation replaces the current one, unless it is known to have started before it
+    /// and the current one still sends heartbeats.
     pub fn note_heartbeat(
         &mut self,
         incarnation: &InstanceIncarnation,
@@ -84,15 +86,15 @@
         HeartbeatVerdict::Fresh
     }
 
-    /// The present life has not been heard of for long.
+    /// Notes that the heartbeats of the current incarnation have stopped.
     pub fn note_silence(&mut self) {
         if let Some(current) = &mut self.current {
             current.is_silent = true;
         }
     }
 
-    /// The life was present in an earlier life of the ledger. Returns whether it is taken up again: only before any
-    /// heartbeat was heard.
+    /// Restores the incarnation that was current before this node restarted. Returns whether it did: only while no
+    /// incarnation is current, and only if this one has not departed.
     pub fn restore(&mut self, incarnation: &InstanceIncarnation) -> bool {
         if self.current.is_some() || self.has_departed(incarnation) {
             return false;
@@ -105,7 +107,8 @@
         true
     }
 
-    /// The life has left, and those of its name before it. Returns whether the present one is among them.
+    /// Marks an incarnation and the earlier ones of its name as departed. Returns whether the current one is among
+    /// them.
     pub fn leave(&mut self, incarnation: &InstanceIncarnation) -> bool {
         let left = self.current.take_if(|current| {
             current.incarnation.name == incarnation.name
--- a/crates/coltsfootroute/src/membership/introduction_row.rs
+++ b/crates/coltsfootroute/src/membership/introduction_row.rs
@@ -1,4 +1,4 @@
-//! The row by which newcomers find a node.
+//! Row of the table service by which newly started nodes find a node.
 
 use crate::{
     id::{Incarnation, NodeId},
@@ -6,25 +6,25 @@
     table::{RowCondition, RowKey, RowWrite},
 };
 
-/// Common start of the keys.
+/// Common prefix of the keys.
 pub(super) const PREFIX: &str = "introduction/";
 
 record_type! {
-    /// The row of one node, `introduction/{service}/{node}`, with its incarnation as value.
+    /// Row of one node: the key is `introduction/{service}/{node}`, the value is its incarnation.
     ///
-    /// It may be stale: whoever reads it asks the node itself.
+    /// The row may be stale; a reader contacts the node itself to find out.
     pub struct IntroductionRow {
         /// Service of the upstream beside the node.
         pub service: ServiceName,
         /// The node.
         pub node: NodeId,
-        /// Its life.
+        /// Incarnation of the node.
         pub incarnation: Incarnation,
     }
 }
 
 record_type! {
-    /// A node as the key of its row introduces it.
+    /// Node and service as read from the key of a row.
     pub struct IntroducedNode {
         /// Service of the upstream beside the node.
         pub service: ServiceName,
@@ -34,17 +34,17 @@
 }
 
 impl IntroductionRow {
-    /// Writes the row over that of an earlier life.
+    /// Returns a write that replaces the row of an earlier incarnation.
     pub fn write(&self) -> RowWrite {
         self.change(Some(self.incarnation.0.to_string()))
     }
 
-    /// Removes the row.
+    /// Returns a write that removes the row.
     pub fn removal(&self) -> RowWrite {
         self.change(None)
     }
 
-    /// What a key says, if it is the key of such a row.
+    /// Parses the key of a row. Returns `None` if it is not the key of an introduction.
     pub fn parse_key(key: &RowKey) -> Option<IntroducedNode> {
         let (service, node) = key.as_str().strip_prefix(PREFIX)?.rsplit_once('/')?;
         Some(IntroducedNode {
--- a/crates/coltsfootroute/src/membership/introduction_scan.rs
+++ b/crates/coltsfootroute/src/membership/introduction_scan.rs
@@ -1,4 +1,4 @@
-//! Reading the rows by which newcomers find other nodes.
+//! Scan of the rows by which newly started nodes find other nodes.
 
 use indexmap::IndexMap;
 use rand::{Rng, RngExt, seq::IteratorRandom as _};
@@ -10,49 +10,52 @@
     table::{TableReply, TableRequest},
 };
 
-/// Rows read at a time: as many as a platform's table service gives in one answer. Each read has its price, whatever it
-/// brings, and one that shows members of every service spares one for each.
+/// Number of rows per page, the maximum that a platform's table service returns in one reply. Every read has a cost,
+/// whatever its result; one page that shows members of every service saves a read for each service.
 const PAGE_ROWS: usize = 500;
-/// Nodes that a newcomer asks at once, of all services together: each answer brings a record and news.
+/// Maximum number of nodes, over all services, that a new node queries at the same time. Each reply brings a record and
+/// recent updates.
 const MAX_QUERIED_NODES: usize = 48;
-/// Nodes of each service that a newcomer asks at least.
+/// Minimum number of nodes of each service that a new node queries, if that many are found; takes precedence over
+/// [`MAX_QUERIED_NODES`].
 const MIN_QUERIED_PER_SERVICE: usize = 3;
-/// First characters of services' names.
+/// Characters with which names of services may begin.
 const FIRST_CHARACTERS: &[u8] = b"abcdefghijklmnopqrstuvwxyz0123456789";
 
-/// Reads the rows page by page, round and round.
+/// Repeated scan of the rows, page by page; continues with the first page after the last one.
 #[derive(Clone, Debug)]
 pub struct IntroductionScan {
-    /// Common start of the keys that are read.
+    /// Common prefix of the keys that are read.
     prefix: String,
-    /// Last key read.
+    /// Key after which the next page starts; empty for the first page.
     after: String,
-    /// Where the scan goes on if the first page does not hold all rows: newcomers of a large deployment neither read all
-    /// of it nor all the same part.
+    /// Random key after which the scan continues if the first page does not hold all rows, so that the new nodes of a
+    /// large deployment need not read all rows and do not all read the same ones.
     random_start: Option<String>,
 }
 
 impl IntroductionScan {
-    /// A scan of all rows. The first page holds a small deployment; in a larger one the scan goes on anywhere.
+    /// Creates a scan of all rows. The first page holds all rows of a small deployment; in a larger one the scan
+    /// continues after a random key.
     pub fn new(rng: &mut impl Rng) -> Self {
         let first = FIRST_CHARACTERS[rng.random_range(0..FIRST_CHARACTERS.len())];
         let random_start = Some(format!("{PREFIX}{}", char::from(first)));
         Self { prefix: PREFIX.to_owned(), after: String::new(), random_start }
     }
 
-    /// A scan of the rows of one service.
+    /// Creates a scan of the rows of one service.
     pub fn of_service(service: &ServiceName) -> Self {
         Self { prefix: format!("{PREFIX}{service}/"), after: String::new(), random_start: None }
     }
 
-    /// Asks for the next page.
+    /// Returns the request for the next page.
     pub fn request(&self) -> TableRequest {
         let after = self.after.clone();
         TableRequest::Scan { prefix: self.prefix.clone(), after, limit: PAGE_ROWS }
     }
 
-    /// Takes a page and gives the nodes on it; a reply without rows leaves the scan where it is. After
-    /// the last page comes the first.
+    /// Advances the scan by a page and returns the nodes on that page. A reply other than rows leaves the scan at its
+    /// position. The last page is followed by the first one.
     pub fn handle_reply(&mut self, reply: &TableReply) -> Vec<IntroducedNode> {
         let TableReply::Rows(rows) = reply else { return Vec::new() };
         self.after = match rows.last() {
@@ -64,7 +67,8 @@
         rows.iter().filter_map(|row| IntroductionRow::parse_key(&row.key)).collect()
     }
 
-    /// Some of `found` to ask, by service: all of a small service, whose members nobody else is likely to tell of soon.
+    /// Returns the nodes of `found` to query, grouped by service: a random sample of each service. A service with few
+    /// nodes is included whole, because other nodes are unlikely to pass on its members soon.
     pub fn sample_by_service(rng: &mut impl Rng, found: &[IntroducedNode]) -> Vec<Vec<NodeId>> {
         let mut services = IndexMap::<&ServiceName, Vec<NodeId>>::new();
         for introduced in found {
@@ -74,7 +78,7 @@
         services.into_values().map(|nodes| nodes.into_iter().sample(&mut *rng, most)).collect()
     }
 
-    /// Whether the next page is the first of all.
+    /// Whether the next page is the first one.
     pub fn is_at_start(&self) -> bool {
         self.after.is_empty()
     }
--- a/crates/coltsfootroute/src/membership/member_record.rs
+++ b/crates/coltsfootroute/src/membership/member_record.rs
@@ -1,4 +1,4 @@
-//! What is known of one member.
+//! Record of one member.
 
 use std::{cmp::Ordering, hash::Hasher, net::IpAddr};
 
@@ -14,32 +14,33 @@
 const RECORD_HASH_SEED: u64 = 0x636f_6c74_7366_6f6f;
 
 record_type! {
-    /// A node as member of the group of its upstream's service.
+    /// Record of a node as a member of the group of its upstream's service.
     ///
-    /// 104 bytes in memory (`size_of`, 64 bit); names are shared. Its content changes only with its incarnation.
+    /// 104 bytes in memory (`size_of`, 64 bit); names are shared. The content changes only together with the
+    /// incarnation.
     pub struct MemberRecord {
         /// The member's peer address.
         pub node: NodeId,
-        /// Orders what is said of the node: the higher incarnation wins.
+        /// Incarnation of the node; the record with the higher one supersedes the other.
         pub incarnation: Incarnation,
-        /// Service of the upstream beside the node; `None` while none has announced itself. Such a
-        /// node belongs to no group and only watches.
+        /// Service of the upstream beside the node. `None` while no upstream has announced itself; such a node belongs
+        /// to no group and only watches other groups.
         pub service: Option<ServiceName>,
         /// Failure domain of the host.
         pub domain: DomainName,
         /// Region of the host.
         pub region: RegionName,
-        /// Requests that the upstream runs at once.
+        /// Number of requests that the upstream runs concurrently.
         pub slots: u32,
-        /// Connections that the upstream accepts.
+        /// Number of connections that the upstream accepts.
         pub connections: u32,
-        /// State, in its order within one incarnation.
+        /// State of the member; within one incarnation the higher state supersedes the lower.
         pub state: MemberState,
     }
 }
 
 impl MemberRecord {
-    /// A node without an upstream, alive.
+    /// Creates the record of a node that is alive and has no upstream.
     pub fn new(
         node: NodeId,
         incarnation: Incarnation,
@@ -58,17 +59,17 @@
         }
     }
 
-    /// The same record in another state.
+    /// Returns the same record in another state.
     pub fn with_state(&self, state: MemberState) -> Self {
         Self { state, ..self.clone() }
     }
 
-    /// Merge order: incarnation first, then Alive < Suspect < Dead < Left. The greater record stands.
+    /// Compares by the merge order: incarnation first, then Alive < Suspect < Dead < Left. The greater record is kept.
     pub fn merge_order(&self, other: &Self) -> Ordering {
         (self.incarnation, self.state).cmp(&(other.incarnation, other.state))
     }
 
-    /// Hash of the content, the same on every build and host.
+    /// Returns a hash of the content that is the same on every build and host.
     pub fn content_hash(&self) -> u64 {
         let mut hasher = XxHash3_64::with_seed(RECORD_HASH_SEED);
         write_node(&mut hasher, self.node);
@@ -82,7 +83,7 @@
         hasher.finish()
     }
 
-    /// Hash of the node alone; chooses the record's bucket.
+    /// Returns a hash of the node alone, which selects the record's bucket.
     pub fn node_hash(&self) -> u64 {
         let mut hasher = XxHash3_64::with_seed(RECORD_HASH_SEED);
         write_node(&mut hasher, self.node);
--- a/crates/coltsfootroute/src/membership/member_update.rs
+++ b/crates/coltsfootroute/src/membership/member_update.rs
@@ -1,36 +1,36 @@
-//! A record on its way between nodes.
+//! Record as sent between nodes.
 
 use std::time::Duration;
 
 use super::MemberRecord;
 
-/// Bytes of the port, the state and the three name numbers, with the tag of their word.
+/// Bytes of the port, the state and the indexes of the three names, with the tag of their word.
 const NUMBERS_BYTES: usize = 7;
 
 record_type! {
-    /// A record with its age, so that old knowledge expires everywhere at about the same time instead
-    /// of being handed on for ever.
+    /// Record with its age. Because of the age, an old record expires on all nodes at about the same time instead of
+    /// being passed on indefinitely.
     pub struct MemberUpdate {
-        /// What is said.
+        /// Record of the member.
         pub record: MemberRecord,
-        /// Of a dead or departed member: time since it became so. Of a live one: time since its own
-        /// group, or itself, confirmed it. Whole seconds on the wire.
+        /// Time since a dead or departed member became so, or since the member itself or its group confirmed a live
+        /// one. Whole seconds on the wire.
         pub age: Duration,
     }
 }
 
 impl MemberUpdate {
-    /// A fresh statement.
+    /// Creates an update of age zero.
     pub fn new(record: MemberRecord) -> Self {
         Self { record, age: Duration::ZERO }
     }
 
-    /// The same statement, `age` old.
+    /// Sets the age of the update.
     pub fn with_age(self, age: Duration) -> Self {
         Self { age, ..self }
     }
 
-    /// Upper bound of its packed size on the wire, in bytes, names not included.
+    /// Returns an upper bound of the packed size on the wire, in bytes, without names.
     pub fn wire_bytes(&self) -> usize {
         let (high, low) = address_words(self.record.node.0.ip());
         let record = &self.record;
@@ -53,8 +53,8 @@
     ((bits >> 64) as u64, bits as u64)
 }
 
-/// Most bytes that Cap'n Proto's packing spends on `word`: a tag, the bytes that are not zero, and a
-/// run length where all or none are.
+/// Returns the maximum number of bytes that Cap'n Proto's packing takes for `word`: a tag, the bytes that are not zero,
+/// and a run length if all or none of them are zero.
 pub(super) fn packed_bytes(word: u64) -> usize {
     let set = word.to_le_bytes().iter().filter(|byte| **byte != 0).count();
     let run = usize::from(set == 0 || set == 8);
--- a/crates/coltsfootroute/src/membership/membership_status.rs
+++ b/crates/coltsfootroute/src/membership/membership_status.rs
@@ -1,28 +1,28 @@
-//! Summary for operators.
+//! Membership summary for operators.
 
 use super::{GossipCounters, MemberState};
 use crate::id::Incarnation;
 
-/// What the node knows of its groups, counted.
+/// Counts of the members that the node knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipStatus {
-    /// Whether another node has answered, or there was none to ask.
+    /// Whether another node has answered.
     pub joined: bool,
-    /// Own incarnation.
+    /// Incarnation of this node.
     pub incarnation: Incarnation,
-    /// Groups held in detail: the own one and the watched ones.
+    /// Number of groups whose members are held: the own one and the watched ones.
     pub groups: usize,
-    /// Members by state, over these groups.
+    /// Alive members of these groups.
     pub alive: usize,
-    /// Suspected members.
+    /// Suspected members of these groups.
     pub suspect: usize,
-    /// Dead members still remembered.
+    /// Dead members of these groups that are still remembered.
     pub dead: usize,
-    /// Departed members still remembered.
+    /// Departed members of these groups that are still remembered.
     pub left: usize,
-    /// Members of other services kept as entry points.
+    /// Members of other services that are kept as entry points.
     pub seeds: usize,
-    /// What was sent.
+    /// Counters of the messages sent.
     pub counters: GossipCounters,
 }
 
--- a/crates/coltsfootroute/src/membership/puller_table.rs
+++ b/crates/coltsfootroute/src/membership/puller_table.rs
@@ -1,10 +1,10 @@
-//! Nodes that lately pulled the own group.
+//! Nodes that recently pulled the own group.
 
 use indexmap::IndexMap;
 
 use crate::{id::NodeId, time::MonotonicTime};
 
-/// The watchers that are told of a leave at once. Bounded: the one that pulled longest ago goes first.
+/// Watchers that are notified of leaves immediately. A full table evicts the one whose last pull is the oldest.
 #[derive(Clone, Debug)]
 pub struct PullerTable {
     /// Invariant: ordered by the time of the last pull, at most `limit` entries.
@@ -13,12 +13,12 @@
 }
 
 impl PullerTable {
-    /// An empty table of at most `limit` nodes.
+    /// Creates an empty table of at most `limit` nodes.
     pub fn new(limit: usize) -> Self {
         Self { pullers: IndexMap::new(), limit }
     }
 
-    /// Notes a pull.
+    /// Notes a pull by `node`.
     pub fn note(&mut self, now: MonotonicTime, node: NodeId) {
         self.pullers.shift_remove(&node);
         if self.pullers.len() >= self.limit {
@@ -27,7 +27,7 @@
         self.pullers.insert(node, now);
     }
 
-    /// Nodes that pulled at `since` or later, the longest ago first.
+    /// Returns the nodes that pulled at `since` or later, the oldest pull first.
     pub fn since(&self, since: MonotonicTime) -> impl Iterator<Item = NodeId> {
         self.pullers.iter().filter(move |(_, at)| **at >= since).map(|(node, _)| *node)
     }
--- a/crates/coltsfootroute/src/membership/seed_table.rs
+++ b/crates/coltsfootroute/src/membership/seed_table.rs
@@ -1,4 +1,4 @@
-//! Entry points to the services whose members are not held in detail.
+//! Entry points to the services whose members the node does not hold.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use super::{MemberRecord, MemberState, MemberUpdate};
 use crate::{id::NodeId, name::ServiceName, time::MonotonicTime};
 
-/// One entry point.
+/// Entry point with its expiry time.
 #[derive(Clone, Debug)]
 struct SeedEntry {
     record: MemberRecord,
-    /// When the seed is dropped unless the member is confirmed again, by its group or itself.
+    /// Time at which the seed is dropped unless its group or the member itself confirms it again.
     expires: MonotonicTime,
 }
 
-/// A few random members for each service, about 120 bytes each. A seed is a hint: it may be stale, and
-/// what it leads to decides.
+/// A few random members of each service, about 120 bytes each. A seed is only a hint and may be stale; the reply of the
+/// contacted node decides.
 #[derive(Clone, Debug)]
 pub struct SeedTable {
     /// Invariant: at most `max_services` services of at most `per_service` live members each.
@@ -28,13 +28,13 @@
 }
 
 impl SeedTable {
-    /// An empty table.
+    /// Creates an empty table of at most `max_services` services with at most `per_service` seeds each.
     pub fn new(per_service: usize, max_services: usize, max_age: Duration) -> Self {
         Self { services: IndexMap::new(), per_service, max_services, max_age }
     }
 
-    /// Takes a member in, replaces it or removes it, by the merge order; a full service changes one
-    /// at random now and then, so that all members serve as seeds somewhere.
+    /// Adds a member, replaces an older record of it, or removes it if it is not alive. In a full service the new
+    /// member sometimes replaces a random one, so that every member is used as a seed by some node.
     pub fn offer(&mut self, now: MonotonicTime, rng: &mut impl Rng, update: MemberUpdate) {
         let Some(service) = update.record.service.clone() else { return };
         if update.record.state != MemberState::Alive {
@@ -49,7 +49,7 @@
         place_seed(seeds, seed, self.per_service, rng);
     }
 
-    /// Drops a node that did not answer.
+    /// Removes a node that did not answer.
     pub fn remove(&mut self, node: NodeId) {
         for seeds in self.services.values_mut() {
             seeds.retain(|seed| seed.record.node != node);
@@ -57,7 +57,7 @@
         self.drop_empty();
     }
 
-    /// Drops a service, because it is held in detail now; returns its seeds.
+    /// Removes a service whose members are held from now on, and returns its seeds.
     pub fn remove_service(
         &mut self,
         now: MonotonicTime,
@@ -67,13 +67,13 @@
         seeds.iter().map(|seed| self.seed_update(now, seed)).collect()
     }
 
-    /// The seeds of one service.
+    /// Returns the seeds of one service.
     pub fn of_service(&self, now: MonotonicTime, service: &ServiceName) -> Vec<MemberUpdate> {
         let seeds = self.services.get(service).map_or(&[][..], Vec::as_slice);
         seeds.iter().map(|seed| self.seed_update(now, seed)).collect()
     }
 
-    /// At most `count` seeds of random services.
+    /// Returns at most `count` seeds, one each of randomly chosen services.
     pub fn sample(
         &self,
         now: MonotonicTime,
@@ -85,7 +85,7 @@
         seeds.map(|seed| self.seed_update(now, seed)).collect()
     }
 
-    /// Drops what is too old.
+    /// Removes the seeds that have expired.
     pub fn prune(&mut self, now: MonotonicTime) {
         for seeds in self.services.values_mut() {
             seeds.retain(|seed| seed.expires > now);
@@ -93,12 +93,12 @@
         self.drop_empty();
     }
 
-    /// Number of seeds.
+    /// Returns the number of seeds.
     pub fn len(&self) -> usize {
         self.services.values().map(Vec::len).sum()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no seeds.
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
--- a/crates/coltsfootroute/src/membership/send_priority.rs
+++ b/crates/coltsfootroute/src/membership/send_priority.rs
@@ -1,13 +1,13 @@
-//! Which sends go first when bytes are short.
+//! Priorities of sends when the bandwidth budget is short.
 
 value_type! {
-    /// Worth of a send, ascending; low ones are deferred first.
+    /// Priority of a send, in ascending order; low priorities are deferred first.
     pub enum SendPriority {
-        /// Seeds to other groups, cold pulls.
+        /// Seeds for other groups, and pulls of services not in use.
         Low,
-        /// Hot pulls and their answers, indirect probes.
+        /// Pulls of services in use, replies to pulls, and indirect probes.
         Normal,
-        /// Probes, acknowledgements, leaves.
+        /// Probes, acknowledgements and leaves.
         High,
     }
 }
--- a/crates/coltsfootroute/src/membership/update_queue.rs
+++ b/crates/coltsfootroute/src/membership/update_queue.rs
@@ -1,35 +1,35 @@
-//! News of the own group that still has to spread.
+//! Updates of the own group that still have to be spread.
 
 use indexmap::IndexMap;
 
 use crate::id::NodeId;
 
-/// Members whose record changed, each with the number of times that it was passed on. Only the node is
-/// kept; the record is looked up when it is sent, so that the latest goes out.
+/// Members whose record changed, each with the number of times that the update was sent. Only the node is stored; the
+/// record is looked up at the time of sending, so that the latest one is sent.
 #[derive(Clone, Debug, Default)]
 pub struct UpdateQueue {
     sent: IndexMap<NodeId, u32>,
 }
 
 impl UpdateQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Queues news of `node`, counted from the start.
+    /// Queues an update of `node` and resets its send count.
     pub fn push(&mut self, node: NodeId) {
         self.sent.insert(node, 0);
     }
 
-    /// The news least often passed on first.
+    /// Returns the queued nodes, those sent least often first.
     pub fn pending(&self) -> Vec<NodeId> {
         let mut nodes: Vec<_> = self.sent.iter().collect();
         nodes.sort_by_key(|(_, sent)| **sent);
         nodes.into_iter().map(|(node, _)| *node).collect()
     }
 
-    /// Notes that news of `node` was passed on; forgets it after `limit` times.
+    /// Counts one send of an update of `node`, and removes it from the queue after `limit` sends.
     pub fn note_sent(&mut self, node: NodeId, limit: u32) {
         let Some(sent) = self.sent.get_mut(&node) else { return };
         *sent += 1;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether nothing has to spread.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.sent.is_empty()
     }
--- a/crates/coltsfootroute/src/membership/upstream_offer.rs
+++ b/crates/coltsfootroute/src/membership/upstream_offer.rs
@@ -1,15 +1,15 @@
-//! What an upstream announces.
+//! Announcement of an upstream.
 
 use crate::name::ServiceName;
 
 record_type! {
-    /// The upstream beside a node, as it announced itself.
+    /// Service and capacity that the upstream beside a node has announced.
     pub struct UpstreamOffer {
-        /// Service that it belongs to.
+        /// Service that the upstream belongs to.
         pub service: ServiceName,
-        /// Requests that it runs at once.
+        /// Number of requests that the upstream runs concurrently.
         pub slots: u32,
-        /// Connections that it accepts.
+        /// Number of connections that the upstream accepts.
         pub connections: u32,
     }
 }
