--- a/crates/coltsfootroute/src/id.rs
+++ b/crates/coltsfootroute/src/id.rs
@@ -1,4 +1,4 @@
-//! Identities that the system hands out itself.
+//! Identifiers that the system assigns itself.
 
 mod incarnation;
 mod node_id;
--- a/crates/coltsfootroute/src/id/node_id.rs
+++ b/crates/coltsfootroute/src/id/node_id.rs
@@ -1,11 +1,11 @@
-//! Identity of a node.
+//! Identifier of a node.
 
 use std::net::SocketAddr;
 
 value_type! {
-    /// A node, identified by its peer address: TCP for calls between nodes, UDP for gossip, same port.
+    /// Node, identified by its peer address. Calls between nodes use TCP and gossip uses UDP, on the same port.
     ///
-    /// Two lives of a process at one address differ by [`Incarnation`](super::Incarnation).
+    /// Two instances of a process at one address differ by [`Incarnation`](super::Incarnation).
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(transparent)]
     pub struct NodeId(pub SocketAddr);
--- a/crates/coltsfootroute/src/time.rs
+++ b/crates/coltsfootroute/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the library sees it: always an argument, never read from a clock.
+//! Time types. The library receives the time as an argument and never reads a clock.
 
 mod monotonic_time;
 mod suspension_detector;
--- a/crates/coltsfootroute/src/time/monotonic_time.rs
+++ b/crates/coltsfootroute/src/time/monotonic_time.rs
@@ -1,4 +1,4 @@
-//! A point on a process's monotonic clock.
+//! Point on a process's monotonic clock.
 
 use std::{
     ops::{Add, Sub},
@@ -16,12 +16,12 @@
     /// The origin.
     pub const ZERO: Self = Self(0);
 
-    /// The point `millis` milliseconds after the origin.
+    /// Returns the point `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Time elapsed since `earlier`, zero if `earlier` lies in the future.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` lies in the future.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/coltsfootroute/src/time/suspension_detector.rs
+++ b/crates/coltsfootroute/src/time/suspension_detector.rs
@@ -1,19 +1,21 @@
-//! Noticing that the host was suspended.
+//! Detection of suspensions of the host.
 
 use std::time::Duration;
 
-/// A shorter gap between two clocks is their reading, or a host that was busy.
+/// Shortest suspension that is reported. A smaller difference between two clocks may come from reading them one after
+/// the other, or from a busy host.
 const MIN_SUSPENSION: Duration = Duration::from_millis(500);
 
-/// Notices that the host was suspended since the last look.
+/// Detects that the host was suspended since the last reported suspension.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SuspensionDetector {
-    /// How long it had been suspended in all at the last suspension noticed.
+    /// Total suspended time of the host at the last reported suspension.
     reported: Duration,
 }
 
 impl SuspensionDetector {
-    /// `suspended` is how long the host has been suspended in all; returns how much of it is new, if it is worth mention.
+    /// Takes the total time that the host has been suspended. Returns the part since the last reported suspension, or
+    /// `None` if it is below the shortest reported one.
     pub fn detect(&mut self, suspended: Duration) -> Option<Duration> {
         let new = suspended.saturating_sub(self.reported);
         if new < MIN_SUSPENSION {
