--- a/crates/coltsfootroute/tests/integration/membership.rs
+++ b/crates/coltsfootroute/tests/integration/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: merge order, scripted scenarios, fuzz against an oracle.
+//! Tests of membership: merge order, scripted scenarios, and a fuzz test against an oracle.
 
 mod bytes;
 mod fuzz;
--- a/crates/coltsfootroute/tests/integration/membership/bytes.rs
+++ b/crates/coltsfootroute/tests/integration/membership/bytes.rs
@@ -1,4 +1,4 @@
-//! Control bytes per node: they follow from what a node watches, not from the number of nodes.
+//! Control traffic per node, which depends on the services that a node watches and not on the number of nodes.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 const WARM_UP: Duration = Duration::from_secs(60);
 const MEASURED: Duration = Duration::from_secs(30);
 
-/// Mean bytes per second and node, headers included, in a calm network: `members` nodes in each of
-/// six services, each watching `watched` of the others.
+/// Returns the mean bytes per second and node, headers included, in a network without changes: `members` nodes in each
+/// of six services, each watching `watched` of the other services.
 fn bytes_per_second(members: u8, watched: usize) -> u64 {
     let mut network = GossipNetwork::new(23);
     let count = members * SERVICES.len() as u8;
@@ -40,6 +40,6 @@
     let few = bytes_per_second(5, watched);
     let many = bytes_per_second(40, watched);
 
-    assert!(many < few + few / 5, "{few} B/s a node with 30 nodes, {many} B/s with 240");
-    assert!(many < 1_500, "{many} B/s, of 2,000 allowed");
+    assert!(many < few + few / 5, "{few} B/s per node with 30 nodes, {many} B/s with 240");
+    assert!(many < 1_500, "{many} B/s; the limit of the settings is 2,000");
 }
--- a/crates/coltsfootroute/tests/integration/membership/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/membership/fuzz.rs
@@ -1,9 +1,9 @@
-//! Fuzz against an oracle: what each node truly is.
+//! Fuzz test against an oracle that holds the true state of each node.
 //!
-//! At every step: what a node shows of another never falls in the merge order, so that a leave is never
-//! undone at its incarnation and incarnations never go back; own incarnations rise; control bytes keep
-//! to the budget. After healing and quiet: every live member is alive wherever it is watched, and no
-//! other is shown.
+//! Checked at every step: a record that a node shows of another never decreases in the merge order, so that no leave is
+//! undone within its incarnation and no incarnation decreases; a node's own incarnation never decreases; control
+//! traffic stays within the budget. Checked at the end, after the network has healed and settled: every live member is
+//! shown as alive by every node, and no other node is shown.
 
 use std::{cmp::Ordering, time::Duration};
 
@@ -22,10 +22,11 @@
 const NODES: usize = 7;
 const SERVICES: [&str; 2] = ["logbook", "medicals"];
 const RESTART_TIME: Duration = Duration::from_millis(50);
-/// Long enough for a suspicion, a round of dead probes over all nodes, and a comparison of groups.
-const QUIET: Duration = Duration::from_secs(120);
+/// Time in which the network settles: long enough for a suspicion to expire, for probes of all dead members, and for a
+/// comparison of groups.
+const SETTLING_TIME: Duration = Duration::from_secs(120);
 
-/// What a node truly is.
+/// Actual state of a node.
 #[derive(Clone, Debug)]
 struct ExpectedNode {
     process: ProcessState,
@@ -110,7 +111,7 @@
     }
 }
 
-/// Observer, its life, the one observed, the service.
+/// Observer, number of its starts, observed node, service.
 type ObservationKey = (NodeId, u64, NodeId, &'static str);
 
 struct FuzzedNetwork {
@@ -132,21 +133,22 @@
         fuzzed
     }
 
-    /// All know two peers, which may be down themselves.
+    /// Starts a node with two peers in its settings, which may be down themselves.
     fn start(&mut self, place: usize) {
         self.network.start(fuzz_node(place), vec![fuzz_node(0), fuzz_node(5)]);
         self.network.watch(fuzz_node(place), &SERVICES);
     }
 
-    /// A new process takes some time, so that its clock stands above the incarnations of the old one.
+    /// Restarts a node. The new process starts some time later, so that its clock is above the incarnations of the old
+    /// one.
     fn restart(&mut self, place: usize) {
         self.network.kill(fuzz_node(place));
         self.run(RESTART_TIME);
         self.start(place);
     }
 
-    /// All learn of one node that is up, as they would by the table service: the peers of their
-    /// settings may all be dead.
+    /// Introduces one running node to all others, as the table service would, because the peers in their settings may
+    /// all be dead.
     fn introduce(&mut self) {
         let up: Vec<_> = self.network.up_nodes().map(|(node, _)| node).collect();
         let now = self.network.now;
@@ -168,7 +170,7 @@
         for (observer, state) in self.network.up_nodes() {
             let incarnation = state.engine.own_record().incarnation;
             let before = self.own.insert(observer, incarnation);
-            assert!(before <= Some(incarnation), "own incarnation of {observer} fell");
+            assert!(before <= Some(incarnation), "own incarnation of {observer} decreased");
             for service in SERVICES {
                 for record in state.engine.records(service) {
                     let key = (observer, state.start_count, record.node, service);
@@ -237,12 +239,12 @@
             }
         }
         fuzzed.introduce();
-        fuzzed.run(QUIET);
+        fuzzed.run(SETTLING_TIME);
         check_views(&fuzzed.network, &truth);
     }
 }
 
-/// Each node that is up shows exactly the live members of each service, alive.
+/// Checks that each running node shows exactly the live members of each service, all of them alive.
 fn check_views(network: &GossipNetwork, truth: &[ExpectedNode]) {
     for (number, service) in SERVICES.into_iter().enumerate() {
         let live = |place: &usize| {
--- a/crates/coltsfootroute/tests/integration/membership/instances.rs
+++ b/crates/coltsfootroute/tests/integration/membership/instances.rs
@@ -1,10 +1,10 @@
-//! Heartbeats of one host's upstreams, late and out of order.
+//! Late and reordered heartbeats of the upstreams of one host.
 
 use coltsfootroute::membership::{
     HeartbeatVerdict, InstanceIncarnation, InstanceName, InstanceTracker, StartTime,
 };
 
-/// A life whose upstream does not say when it began.
+/// Creates an incarnation of an upstream that does not report its start time.
 fn without_start(text: &str) -> InstanceIncarnation {
     InstanceIncarnation::new(InstanceName::new(text))
 }
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_of_the_same_life_is_stale() {
+fn a_late_heartbeat_of_the_same_incarnation_is_stale() {
     let mut tracker = InstanceTracker::new();
     tracker.note_heartbeat(&without_start("a"), 5);
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_new_instance_takes_the_place_of_the_old_one_for_good() {
+fn a_new_instance_replaces_the_old_one_permanently() {
     let mut tracker = InstanceTracker::new();
     tracker.note_heartbeat(&without_start("a"), 1);
 
@@ -48,12 +48,12 @@
 
     assert_eq!(fresh, HeartbeatVerdict::Fresh);
     assert_eq!(tracker.note_heartbeat(&without_start("a"), 2), HeartbeatVerdict::Departed);
-    assert!(!tracker.leave(&without_start("a")), "it is not the present one");
+    assert!(!tracker.leave(&without_start("a")), "a replaced instance is not the current one");
     assert_eq!(tracker.current(), Some(&without_start("b")));
 }
 
 #[test]
-fn a_leave_comes_before_the_first_heartbeat() {
+fn a_heartbeat_after_the_leave_of_its_instance_is_rejected() {
     let mut tracker = InstanceTracker::new();
 
     let was_present = tracker.leave(&without_start("a"));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_upstream_that_starts_again_under_its_name_counts_anew() {
+fn an_upstream_that_restarts_under_its_name_is_a_new_incarnation() {
     let mut tracker = InstanceTracker::new();
     tracker.note_heartbeat(&with_start("a", 1_000), 40);
 
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_upstream_that_has_left_may_start_again_under_its_name() {
+fn an_upstream_that_has_left_may_restart_under_its_name() {
     let mut tracker = InstanceTracker::new();
     tracker.note_heartbeat(&with_start("a", 1_000), 3);
     tracker.leave(&with_start("a", 1_000));
@@ -87,9 +87,9 @@
     assert_eq!((late, restarted), (HeartbeatVerdict::Departed, HeartbeatVerdict::Fresh));
 }
 
-/// A cut may hold a heartbeat back until its sender has crashed and another upstream has its address.
+/// A network partition may delay a heartbeat until its sender has crashed and another upstream has its address.
 #[test]
-fn a_heartbeat_of_a_life_never_heard_of_comes_too_late() {
+fn a_late_heartbeat_of_an_unknown_earlier_incarnation_is_rejected() {
     let mut tracker = InstanceTracker::new();
     tracker.note_heartbeat(&with_start("b", 2_000), 1);
 
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_leave_of_the_life_before_does_not_end_the_present_one() {
+fn a_leave_of_the_previous_incarnation_does_not_end_the_current_one() {
     let mut tracker = InstanceTracker::new();
     tracker.note_heartbeat(&with_start("a", 2_000), 1);
 
@@ -110,9 +110,9 @@
     assert_eq!(tracker.note_heartbeat(&with_start("a", 2_000), 2), HeartbeatVerdict::Fresh);
 }
 
-/// The time of day may jump back between two starts.
+/// The wall clock may be set back between two starts.
 #[test]
-fn a_life_that_looks_old_takes_the_place_of_one_that_has_fallen_silent() {
+fn an_incarnation_that_looks_older_replaces_a_silent_one() {
     let mut tracker = InstanceTracker::new();
     tracker.note_heartbeat(&with_start("a", 9_000), 5);
 
--- a/crates/coltsfootroute/tests/integration/membership/introduction.rs
+++ b/crates/coltsfootroute/tests/integration/membership/introduction.rs
@@ -1,4 +1,4 @@
-//! Rows by which newcomers find other nodes.
+//! Rows by which newly started nodes find other nodes.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -12,9 +12,10 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Rows of [`filled`]: three pages.
+/// Number of rows of [`filled`], which are three pages.
 const ROWS: u16 = 1_500;
-/// Pages until all rows have been read: the first, up to three from anywhere on, and all three from the start.
+/// Number of pages after which all rows have been read: the first page, up to three after a random key, and all three
+/// from the start.
 const ROUNDS: usize = 8;
 
 fn node(index: u16) -> NodeId {
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_store_that_does_not_answer_leaves_the_scan_where_it_is() {
+fn an_unavailable_store_does_not_advance_the_scan() {
     let mut scan = IntroductionScan::new(&mut Pcg64::seed_from_u64(1));
     let before = scan.request();
 
@@ -111,9 +112,9 @@
     assert_eq!(scan.request(), before);
 }
 
-/// A newcomer calls several services from its first request on, and each read of the table service has its price.
+/// A new node calls several services from its first request on, and each read of the table service has a cost.
 #[test]
-fn one_page_shows_a_newcomer_some_nodes_of_each_service() {
+fn one_page_yields_some_nodes_of_each_service() {
     let mut table = MemoryTable::default();
     for (index, service) in ["licences", "logbook", "medicals", "renewals"].iter().enumerate() {
         for member in 0..40 {
--- a/crates/coltsfootroute/tests/integration/membership/merge.rs
+++ b/crates/coltsfootroute/tests/integration/membership/merge.rs
@@ -36,26 +36,27 @@
         Just(MemberState::Dead),
         Just(MemberState::Left),
     ];
-    (0_u8..20, 0_u64..4, state).prop_map(|(number, life, state)| update(number, life, state))
+    (0_u8..20, 0_u64..4, state)
+        .prop_map(|(number, incarnation, state)| update(number, incarnation, state))
 }
 
 #[rstest]
 #[case::leave_undoes_death((1, MemberState::Dead), (1, MemberState::Left), true)]
 #[case::death_does_not_undo_a_leave((1, MemberState::Left), (1, MemberState::Dead), false)]
-#[case::same_life_does_not_undo_a_leave((1, MemberState::Left), (1, MemberState::Alive), false)]
-#[case::earlier_life_does_not_undo_a_leave((2, MemberState::Left), (1, MemberState::Alive), false)]
-#[case::later_life_stands_above_a_leave((1, MemberState::Left), (2, MemberState::Alive), true)]
+#[case::same_incarnation_does_not_undo_a_leave((1, MemberState::Left), (1, MemberState::Alive), false)]
+#[case::earlier_incarnation_does_not_undo_a_leave((2, MemberState::Left), (1, MemberState::Alive), false)]
+#[case::later_incarnation_supersedes_a_leave((1, MemberState::Left), (2, MemberState::Alive), true)]
 #[case::suspicion_needs_a_refutation((1, MemberState::Suspect), (1, MemberState::Alive), false)]
 fn merge_follows_the_order(
     #[case] known: (u64, MemberState),
-    #[case] said: (u64, MemberState),
-    #[case] stands: bool,
+    #[case] received: (u64, MemberState),
+    #[case] applied: bool,
 ) {
     let mut view = view(&[update(1, known.0, known.1)]);
 
-    let outcome = view.merge(MonotonicTime::ZERO, update(1, said.0, said.1), true);
+    let outcome = view.merge(MonotonicTime::ZERO, update(1, received.0, received.1), true);
 
-    assert_eq!(matches!(outcome, MergeOutcome::Changed(_)), stands);
+    assert_eq!(matches!(outcome, MergeOutcome::Changed(_)), applied);
 }
 
 #[test]
@@ -91,8 +92,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Views that heard the same end up the same, in whatever order; the digests kept up
-    /// incrementally are those of the records.
+    /// Views that merged the same updates in any order are equal, and the incrementally updated digests match the
+    /// records.
     #[test]
     fn order_of_arrival_does_not_matter(updates in vec(any_update(), 0..60), seed: u64) {
         use rand::{SeedableRng, seq::SliceRandom};
--- a/crates/coltsfootroute/tests/integration/membership/network.rs
+++ b/crates/coltsfootroute/tests/integration/membership/network.rs
@@ -1,4 +1,5 @@
-//! A small network of engines with a driven clock: delay, reorder, loss, duplication, partition.
+//! Simulated network of gossip engines with a manual clock; simulates delay, reordering, loss, duplication and
+//! partitions.
 
 use std::{
     cmp::Reverse,
@@ -23,7 +24,7 @@
 
 const TICK: Duration = Duration::from_millis(100);
 const PORT: u16 = 7_000;
-/// What a paused process finds in its socket when it goes on.
+/// Maximum number of datagrams that a paused process finds in its socket when it resumes.
 const SOCKET_BUFFER: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,9 +39,9 @@
     pub engine: GossipEngine,
     pub process: ProcessState,
     pub events: Vec<GossipEffect>,
-    /// What is proved of the configuration in force; travels with each message.
+    /// Proof of the configuration in force; sent with each message.
     pub freshness: ConfigFreshness,
-    /// Lives of the process so far.
+    /// Number of times that the process was started.
     pub start_count: u64,
     started: MonotonicTime,
     inbox: VecDeque<(NodeId, GossipMessage)>,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Starts a node, or a new life of it, without an upstream.
+    /// Starts or restarts a node, without an upstream.
     pub fn start(&mut self, node: NodeId, peers: Vec<NodeId>) {
         let incarnation = Incarnation(1_000_000 + self.now.0 / 1_000);
         let domain = DomainName::new("dar-a");
@@ -145,7 +146,8 @@
         self.nodes[&node].process = ProcessState::Paused;
     }
 
-    /// The process goes on: first with what waits in its socket, which is the worse order.
+    /// Resumes a paused process. It handles the datagrams in its socket before its first tick, which is the worse
+    /// order.
     pub fn resume(&mut self, node: NodeId) {
         self.nodes[&node].process = ProcessState::Up;
         let inbox = std::mem::take(&mut self.nodes[&node].inbox);
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Nodes on different sides don't reach each other.
+    /// Puts a node on one side of a partition; nodes on different sides can't reach each other.
     pub fn set_side(&mut self, node: NodeId, side: u32) {
         self.nodes[&node].side = side;
     }
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Lets `duration` pass.
+    /// Advances the clock by `duration`, with all deliveries and ticks that are due.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         loop {
@@ -190,7 +192,7 @@
             .map(|(node, state)| (*node, state))
     }
 
-    /// Bytes that a node was allowed to send in its life so far.
+    /// Returns the number of bytes that a node was allowed to send since its last start.
     pub fn allowed_bytes(&self, node: NodeId) -> u64 {
         let millis = self.now.since(self.nodes[&node].started).as_millis() as u64;
         let burst = self.settings.burst_bytes.max(self.settings.start_bytes);
@@ -199,7 +201,7 @@
 
     fn tick(&mut self, node: NodeId) {
         let state = &mut self.nodes[&node];
-        // A process that stood still does not make up for missed ticks.
+        // A process that was paused does not catch up on missed ticks.
         state.next_tick = self.now + TICK;
         let effects = state.engine.tick(self.now, &mut self.rng);
         self.carry_out(node, effects);
--- a/crates/coltsfootroute/tests/integration/membership/resume.rs
+++ b/crates/coltsfootroute/tests/integration/membership/resume.rs
@@ -1,4 +1,4 @@
-//! A node that has started, and what its upstream sends meanwhile.
+//! Heartbeats that arrive while a node has just started.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 const START: MonotonicTime = MonotonicTime::ZERO;
 
 #[test]
-fn no_heartbeat_counts_while_it_may_be_older_than_a_leave() {
+fn the_window_is_open_while_a_heartbeat_may_be_older_than_a_leave() {
     let window = ResumeWindow::new(START);
 
-    // Sent just before the leave, on the way for as long as one may be.
+    // Such a heartbeat was sent just before the leave and took the longest time that it may.
     assert!(window.is_open(START));
     assert!(window.is_open(START + Duration::from_millis(4_999)));
 }
 
 #[test]
-fn without_the_store_an_upstream_counts_again_after_five_seconds() {
+fn without_the_store_the_window_closes_after_five_seconds() {
     let window = ResumeWindow::new(START);
 
     assert!(!window.is_open(START + Duration::from_millis(5_001)));
--- a/crates/coltsfootroute/tests/integration/membership/scenario.rs
+++ b/crates/coltsfootroute/tests/integration/membership/scenario.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios: see `tests/scenarios/membership-*.txt`.
+//! Runner of the scripted scenarios in `tests/scenarios/membership-*.txt`.
 
 use std::{fmt::Write, time::Duration};
 
@@ -13,7 +13,7 @@
 
 use super::network::{GossipNetwork, node_id};
 
-/// Names of the script for the nodes of the network.
+/// Simulated network, with the nodes by their names in the script.
 struct ScenarioRunner {
     network: GossipNetwork,
     names: IndexMap<String, NodeId>,
@@ -96,7 +96,7 @@
         });
     }
 
-    /// Tells the named nodes how a call of theirs to the service fared.
+    /// Notes on the named nodes whether their calls to the service reached a member.
     fn note_calls(
         &mut self,
         case: &mut TestCase,
@@ -114,7 +114,7 @@
         self.each_node(case, |network, node| network.ask(node, &to));
     }
 
-    /// What each named node holds of the service; equal views are shown once.
+    /// Prints the records that each named node holds of the service; equal views are printed once.
     fn view(&mut self, case: &mut TestCase) -> String {
         let service: String = case.take_arg("service").unwrap();
         let mut views: IndexMap<String, Vec<String>> = IndexMap::new();
@@ -129,7 +129,8 @@
         lines.collect()
     }
 
-    /// Events of each named node since last asked, each once and sorted: their order is chance.
+    /// Prints the events of each named node since the last call, without duplicates and sorted, because their order is
+    /// random.
     fn events(&mut self, case: &mut TestCase) -> String {
         let mut text = String::new();
         for name in take_names(case) {
@@ -146,7 +147,8 @@
         text
     }
 
-    /// Datagrams of one kind sent by each named node, and whether all bytes kept to the budget.
+    /// Prints the number of datagrams of one kind that each named node sent, and whether all its traffic stayed within
+    /// the budget.
     fn sent(&mut self, case: &mut TestCase) -> String {
         let kind: String = case.take_arg("kind").unwrap();
         let kind = GossipKind::ALL.into_iter().find(|known| known.as_str() == kind).unwrap();
--- a/crates/coltsfootroute/tests/integration/membership/start.rs
+++ b/crates/coltsfootroute/tests/integration/membership/start.rs
@@ -1,10 +1,10 @@
-//! A whole deployment starts at once and clients come ten seconds later: by then a node has to know the members of what
-//! it calls, or it overloads the few that it knows.
+//! Simultaneous start of a whole deployment, with clients ten seconds later. By then each node must know the members of
+//! the services that it calls, or it overloads the few that it knows.
 //!
-//! The pattern: 194 nodes in four services of 62, 50, 70 and 12, all within 0.3 s, upstreams that announce themselves
-//! within 1.5 s more, and a node that reads the others' rows once, 0.9 to 2.7 s after it has written its own. On such a
-//! deployment nodes knew 68 to 82 in a hundred of the members when clients came, and a tenth of the requests of the first
-//! eight seconds failed or was refused at a service that had room.
+//! 194 nodes in four services of 62, 50, 70 and 12 nodes start within 0.3 s. Their upstreams announce themselves within
+//! another 1.5 s, and each node reads the rows of the others once, 0.9 to 2.7 s after it has written its own. In such a
+//! deployment, nodes knew only 68 to 82 percent of the members when clients started, and a tenth of the requests of the
+//! first eight seconds failed or was refused although the service had free capacity.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
 
 const SERVICES: [(&str, u8); 4] =
     [("logbook", 62), ("renewals", 50), ("medicals", 70), ("licences", 12)];
-/// When clients come.
+/// Time from the start of the deployment to the first client requests.
 const CLIENT_START: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(10);
 
-/// One node on its way in.
+/// Schedule of one node's start.
 struct StartingNode {
     node: NodeId,
     service: &'static str,
@@ -46,7 +46,7 @@
     (0..).zip(services).map(starting).collect()
 }
 
-/// The network when clients come.
+/// Runs the network until clients start.
 fn network_at_client_start(seed: u64) -> GossipNetwork {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut network = GossipNetwork::new(seed);
@@ -76,11 +76,15 @@
         network.run(STEP);
         passed += STEP;
     }
-    assert_eq!(network.now, begin + CLIENT_START, "the clock is driven");
+    assert_eq!(
+        network.now,
+        begin + CLIENT_START,
+        "the simulated clock must reach the client start"
+    );
     network
 }
 
-/// Members of `service` that `node` holds for alive.
+/// Returns the number of members of `service` that `node` considers alive.
 fn known(network: &GossipNetwork, node: NodeId, service: &str) -> usize {
     let members = network.nodes[&node].engine.members(service);
     members.filter(|member| member.state == MemberState::Alive).count()
@@ -90,7 +94,7 @@
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn nodes_that_start_together_know_each_other_before_clients_come(#[case] seed: u64) {
+fn nodes_that_start_together_know_each_other_before_clients_start(#[case] seed: u64) {
     let network = network_at_client_start(seed);
 
     let nodes: Vec<_> = network.up_nodes().map(|(node, _)| node).collect();
@@ -107,9 +111,9 @@
     }
 }
 
-/// The bytes after a start are a bound, and come once.
+/// The larger burst after a start is a limit, and is available only once.
 #[test]
-fn what_a_start_may_cost_is_bounded() {
+fn traffic_after_a_start_is_bounded() {
     let network = network_at_client_start(4);
     let begin = MonotonicTime::from_millis(1_000);
 
--- a/crates/coltsfootroute/tests/integration/suspension.rs
+++ b/crates/coltsfootroute/tests/integration/suspension.rs
@@ -12,12 +12,12 @@
 
 #[test]
 fn a_suspension_is_noticed_once() {
-    let mut watch = SuspensionDetector::default();
+    let mut detector = SuspensionDetector::default();
 
-    assert_eq!(watch.detect(Duration::from_millis(1)), None);
-    assert_eq!(watch.detect(Duration::from_secs(4)), Some(Duration::from_secs(4)));
-    assert_eq!(watch.detect(Duration::from_millis(4_001)), None);
-    assert_eq!(watch.detect(Duration::from_secs(6)), Some(Duration::from_secs(2)));
+    assert_eq!(detector.detect(Duration::from_millis(1)), None);
+    assert_eq!(detector.detect(Duration::from_secs(4)), Some(Duration::from_secs(4)));
+    assert_eq!(detector.detect(Duration::from_millis(4_001)), None);
+    assert_eq!(detector.detect(Duration::from_secs(6)), Some(Duration::from_secs(2)));
 }
 
 #[test]
