--- a/crates/coltsfootroute/src/membership/gossip_engine.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine.rs
@@ -165,7 +165,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Raises the revision of the configuration in force, which every message carries, to `revision` if it is lower.
+    /// Sets the revision of the configuration in force, which every message carries, unless the known one is higher.
     pub fn set_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
--- a/crates/coltsfootroute/src/membership/gossip_engine/joining.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/joining.rs
@@ -17,7 +17,7 @@
 const MAX_CONTACTS: usize = 64;
 /// One in this many pings outside the group, on average, goes to an address from the settings or an introduction.
 const CONTACT_PING_PERIOD: u32 = 4;
-/// Shortest time between two reports of the same higher revision by the same peer.
+/// Shortest time between two reports of the same peer with the same higher revision.
 const AHEAD_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Shortest time between two reports of peers with a different quarantine. While a new case spreads, many peers differ
--- a/crates/coltsfootroute/src/membership/gossip_engine/pulling.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/pulling.rs
@@ -21,7 +21,7 @@
 /// Divisor of the pull interval for the next pull after one that returned nothing or not everything.
 const EAGER_PULL_DIVISOR: u32 = 4;
 /// Factor by which the pull interval grows for a group of which no member answers.
-const LOST_PULL_FACTOR: u32 = 3;
+const UNREACHABLE_PULL_FACTOR: u32 = 3;
 /// Delay before the retry of a pull that the bandwidth budget did not allow.
 const DEFERRED_PULL_DELAY: Duration = Duration::from_millis(200);
 
@@ -89,17 +89,22 @@
         let complete: IndexSet<u16> = complete.iter().copied().collect();
         let named: IndexSet<NodeId> = updates.iter().map(|update| update.record.node).collect();
         let own = group.bucket_updates(now, count, &complete).into_values().flatten();
-        let lacking = own
+        let missing = own
             .filter(|update| update.record.state.is_live() && !named.contains(&update.record.node));
-        let lacking: Vec<_> = lacking.collect();
-        self.send_corrections(now, from, lacking);
+        let missing: Vec<_> = missing.collect();
+        self.send_corrections(now, from, missing);
     }
 
     /// Handles the reply of a node outside the group, which holds the members that it knows.
-    pub(super) fn handle_seeds(&mut self, now: MonotonicTime, service: &ServiceName, any: bool) {
+    pub(super) fn handle_seeds(
+        &mut self,
+        now: MonotonicTime,
+        service: &ServiceName,
+        has_updates: bool,
+    ) {
         let Some(watch) = self.watches.get_mut(service) else { return };
         watch.pending = None;
-        if any {
+        if has_updates {
             self.pull_again_soon(now, service);
         }
     }
@@ -193,15 +198,15 @@
         };
         let interval = self.base_interval(now, service, watch);
         let others = group.live().filter(|record| record.node != self.own_record.node);
-        let (mut unasked, mut members) = (false, false);
+        let (mut has_untried, mut has_members) = (false, false);
         for member in others {
-            members = true;
-            unasked |= !watch.silent.contains(&member.node);
+            has_members = true;
+            has_untried |= !watch.silent.contains(&member.node);
         }
-        let lost = !members && now.since(watch.last_answer) >= self.settings.hide_after;
-        if lost {
-            interval.max(self.settings.pull_interval * LOST_PULL_FACTOR)
-        } else if unasked && !watch.silent.is_empty() {
+        let unreachable = !has_members && now.since(watch.last_answer) >= self.settings.hide_after;
+        if unreachable {
+            interval.max(self.settings.pull_interval * UNREACHABLE_PULL_FACTOR)
+        } else if has_untried && !watch.silent.is_empty() {
             interval / EAGER_PULL_DIVISOR
         } else {
             interval
--- a/crates/coltsfootroute/src/membership/gossip_engine/spreading.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/spreading.rs
@@ -158,8 +158,7 @@
         self.settings.retransmit_factor * (members + 1).next_power_of_two().ilog2().max(1)
     }
 
-    /// Returns the record of the receiver if the own group does not hold it for alive, so that the receiver can refute
-    /// it.
+    /// Returns the record of the receiver if it is not alive in the own group, so that the receiver can refute it.
     fn record_to_refute(&self, now: MonotonicTime, to: NodeId) -> Option<MemberUpdate> {
         let group = self.own_group()?;
         let accused = group.get(to)?.state != MemberState::Alive;
--- a/crates/coltsfootroute/src/membership/gossip_engine/watch_state.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/watch_state.rs
@@ -43,7 +43,7 @@
     /// reach a member since the last answer to a pull. Unanswered pulls alone are no proof, because a member that has
     /// used up its bandwidth budget does not answer either.
     pub(super) fn may_be_gone(&self, now: MonotonicTime, silence: Duration) -> bool {
-        let is_silent = |heard: MonotonicTime| now.since(heard) >= silence;
+        let is_silent = |last: MonotonicTime| now.since(last) >= silence;
         is_silent(self.last_answer)
             && self.last_reached.is_none_or(is_silent)
             && self.last_unreachable.is_some_and(|failed| failed >= self.last_answer)
--- a/crates/coltsfootroute/tests/integration/membership/start.rs
+++ b/crates/coltsfootroute/tests/integration/membership/start.rs
@@ -54,9 +54,9 @@
     let nodes = starting_nodes(&mut rng);
     let names = SERVICES.map(|(name, _)| name);
     let mut rows = Vec::new();
-    let mut passed = Duration::ZERO;
-    while passed < CLIENT_START {
-        let is_now = |at: Duration| (passed..passed + STEP).contains(&at);
+    let mut elapsed = Duration::ZERO;
+    while elapsed < CLIENT_START {
+        let is_now = |at: Duration| (elapsed..elapsed + STEP).contains(&at);
         for starting in &nodes {
             if is_now(starting.starts) {
                 network.start(starting.node, Vec::new());
@@ -74,7 +74,7 @@
             }
         }
         network.run(STEP);
-        passed += STEP;
+        elapsed += STEP;
     }
     assert_eq!(
         network.now,
@@ -121,6 +121,6 @@
     let most = network.up_nodes().map(|(node, _)| spent(node)).max().unwrap();
 
     let settings = &network.settings;
-    let passed = network.now.since(begin).as_secs();
-    assert!(most <= settings.start_bytes + settings.bytes_per_second * passed, "{most} bytes");
+    let elapsed = network.now.since(begin).as_secs();
+    assert!(most <= settings.start_bytes + settings.bytes_per_second * elapsed, "{most} bytes");
 }
