--- a/crates/coltsfootroute/src/membership.rs
+++ b/crates/coltsfootroute/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which upstreams there are, learnt by gossip.
+//! Discovery of upstreams by gossip.
 //!
 //! A node probes the members of its own upstream's service (SWIM: ping, indirect ping, suspicion) and
-//! *watches* the services that it calls, by pulling what differs from one of their members. The
-//! [`GossipEngine`] decides; the embedding process sends the datagrams.
+//! *watches* the services that it calls: it pulls the records that differ from one of their members.
+//! The [`GossipEngine`] makes the decisions; the embedding process sends the datagrams.
 
 mod bandwidth_budget;
 mod gossip_counters;
@@ -14,8 +14,8 @@
 mod gossip_settings;
 mod group_view;
 mod heartbeat_watch;
-mod instance_ledger;
-mod instance_life;
+mod instance_incarnation;
+mod instance_tracker;
 mod introduction_row;
 mod introduction_scan;
 mod member_record;
@@ -39,8 +39,8 @@
 pub use gossip_settings::GossipSettings;
 pub use group_view::{GroupView, MAX_BUCKETS, MergeOutcome};
 pub use heartbeat_watch::HeartbeatWatch;
-pub use instance_ledger::{HeartbeatVerdict, InstanceLedger};
-pub use instance_life::{BirthTime, InstanceLife, InstanceName};
+pub use instance_incarnation::{InstanceIncarnation, InstanceName, StartTime};
+pub use instance_tracker::{HeartbeatVerdict, InstanceTracker};
 pub use introduction_row::{IntroducedNode, IntroductionRow};
 pub use introduction_scan::IntroductionScan;
 pub use member_record::MemberRecord;
--- a/crates/coltsfootroute/src/membership/gossip_engine/answering.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/answering.rs
@@ -1,4 +1,4 @@
-//! Answering the messages of others.
+//! Replies to messages of other nodes.
 
 use indexmap::IndexSet;
 use rand::Rng;
@@ -12,8 +12,8 @@
 };
 
 impl GossipEngine {
-    /// Does what the message asks.
-    pub(super) fn answer(
+    /// Handles the request or reply in a message.
+    pub(super) fn handle_payload(
         &mut self,
         now: MonotonicTime,
         rng: &mut impl Rng,
@@ -32,24 +32,24 @@
             GossipPayload::Pull { service, digest } => {
                 self.answer_pull(now, rng, from, service, digest);
             }
-            GossipPayload::PullMatch { service } => self.take_match(now, &service),
+            GossipPayload::PullMatch { service } => self.handle_match(now, &service),
             GossipPayload::PullBuckets { service, digests } => {
-                self.take_buckets(now, rng, from, service, &digests);
+                self.handle_buckets(now, rng, from, service, &digests);
             }
             GossipPayload::PullRecords { service, bucket_count, wanted } => {
                 self.answer_records(now, from, &service, bucket_count, wanted);
             }
             GossipPayload::Records { service, bucket_count, complete } => {
-                self.take_records(now, from, &service, bucket_count, &complete, &message.updates);
+                self.handle_records(now, from, &service, bucket_count, &complete, &message.updates);
             }
             GossipPayload::Seeds { service } => {
-                self.take_seeds(now, &service, !message.updates.is_empty());
+                self.handle_seeds(now, &service, !message.updates.is_empty());
             }
             GossipPayload::Push => {}
         }
     }
 
-    /// Acknowledges; a node of another group also learns some members of its own.
+    /// Acknowledges a ping. If the sender belongs to another group, adds some members of that group.
     fn answer_ping(
         &mut self,
         now: MonotonicTime,
@@ -58,7 +58,7 @@
         sequence: u64,
         updates: &[MemberUpdate],
     ) {
-        let payload = GossipPayload::Ack { sequence, target: self.me.node };
+        let payload = GossipPayload::Ack { sequence, target: self.own_record.node };
         let mut ack = self.message_to(now, rng, from, payload);
         let sender = updates.iter().find(|update| update.record.node == from);
         let service = sender.and_then(|update| update.record.service.clone());
@@ -92,7 +92,7 @@
         self.send(now, SendPriority::Normal, from, GossipMessage::new(self.revision, payload));
     }
 
-    /// Names the members known here; if this node left that group, says so first.
+    /// Replies with the own record, which shows a leave of that group, and with the members known here.
     fn answer_with_seeds(
         &mut self,
         now: MonotonicTime,
@@ -102,7 +102,7 @@
     ) {
         let seeds = self.seeds_of(now, rng, &service);
         let mut message = GossipMessage::new(self.revision, GossipPayload::Seeds { service });
-        message.fill([MemberUpdate::new(self.me.clone())]);
+        message.fill([MemberUpdate::new(self.own_record.clone())]);
         message.fill(seeds);
         self.send(now, SendPriority::Low, from, message);
     }
@@ -128,7 +128,7 @@
     }
 }
 
-/// Packs the records of the wanted buckets into datagrams, whole buckets where they fit.
+/// Packs the records of the wanted buckets into datagrams; splits only buckets larger than a datagram.
 fn record_messages(
     revision: u64,
     now: MonotonicTime,
@@ -157,7 +157,7 @@
     messages
 }
 
-/// Adds a whole bucket, or nothing.
+/// Adds a whole bucket if it fits. Otherwise adds nothing and returns false.
 fn add_bucket(message: &mut GossipMessage, bucket: u16, updates: &[MemberUpdate]) -> bool {
     let before = message.updates.len();
     if let GossipPayload::Records { complete, .. } = &mut message.payload {
@@ -173,7 +173,7 @@
     false
 }
 
-/// Spreads a bucket that is larger than a datagram; returns the last message, which is still open.
+/// Splits a bucket that is larger than a datagram. Returns the last message, which may still have room.
 fn add_in_parts(
     messages: &mut Vec<GossipMessage>,
     updates: Vec<MemberUpdate>,
--- a/crates/coltsfootroute/src/membership/gossip_engine/probing.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/probing.rs
@@ -1,4 +1,4 @@
-//! Failure detection in the own group.
+//! Failure detector of the own group.
 
 use std::time::Duration;
 
@@ -21,13 +21,14 @@
     time::MonotonicTime,
 };
 
-/// Bound of [`GossipEngine::doubt`].
-const MAX_DOUBT: u32 = 3;
-/// Most pings that wait at once; further relays are refused.
+/// Maximum of [`GossipEngine::health_score`].
+const MAX_HEALTH_SCORE: u32 = 3;
+/// Maximum number of pings that wait for an acknowledgement; further pings are not sent.
 const MAX_PENDING_PINGS: usize = 256;
 
 impl GossipEngine {
-    /// Sends a ping and waits for its acknowledgement; false if there are no bytes for it.
+    /// Sends a ping and registers it for its acknowledgement. Returns false if the bandwidth budget does not allow it
+    /// or too many pings are pending.
     pub(super) fn ping(
         &mut self,
         now: MonotonicTime,
@@ -50,7 +51,7 @@
         true
     }
 
-    /// Takes an acknowledgement of the ping `sequence`.
+    /// Handles an acknowledgement of the ping `sequence`.
     pub(super) fn note_ack(&mut self, now: MonotonicTime, sequence: u64, target: NodeId) {
         let Some(ping) = self.pings.get(&sequence).copied() else { return };
         if ping.target != target {
@@ -63,11 +64,11 @@
             PingPurpose::Relay { requester, sequence } => {
                 self.relay_ack(now, requester, sequence, target)
             }
-            PingPurpose::Join | PingPurpose::Cross | PingPurpose::DeadProbe => {}
+            PingPurpose::Join | PingPurpose::CrossGroup | PingPurpose::DeadProbe => {}
         }
     }
 
-    /// Gives up pings without an answer.
+    /// Removes pings that were not answered in time, and the seeds that did not answer.
     pub(super) fn expire_pings(&mut self, now: MonotonicTime) {
         let expired: Vec<_> = self
             .pings
@@ -77,18 +78,18 @@
             .collect();
         for (sequence, ping) in expired {
             self.pings.swap_remove(&sequence);
-            if ping.purpose == PingPurpose::Cross {
+            if ping.purpose == PingPurpose::CrossGroup {
                 self.seeds.remove(ping.target);
             }
         }
     }
 
-    /// Moves the probe under way on, and starts the next when it is due.
+    /// Advances the current probe, and starts the next one when it is due.
     pub(super) fn advance_probe(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         match self.round {
             Some(round) if now >= round.verdict_at => self.fail_probe(now, rng, round),
-            Some(round) if now >= round.indirect_at && !round.indirect_asked => {
-                self.ask_others(now, rng, round);
+            Some(round) if now >= round.indirect_at && !round.indirect_sent => {
+                self.send_indirect_probes(now, rng, round);
             }
             _ => {}
         }
@@ -99,7 +100,7 @@
         self.start_probe(now, rng);
     }
 
-    /// Probes a dead member now and then, so that both sides of a healed partition find each other.
+    /// Probes a random dead member at intervals, so that both sides of a healed partition find each other.
     pub(super) fn probe_dead(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         if now < self.dead_probe_due || !self.is_member() {
             return;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Declares suspects dead that have not refuted in time.
+    /// Declares suspects dead that have not refuted the suspicion in time.
     pub(super) fn expire_suspicions(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         let due: Vec<_> = self
             .suspicions
@@ -129,22 +130,23 @@
                 .filter(|record| record.incarnation == incarnation)
                 .map(|record| record.with_state(MemberState::Dead));
             if let Some(dead) = dead {
-                self.absorb(now, rng, MemberUpdate::new(dead), true);
+                self.merge_update(now, rng, MemberUpdate::new(dead), true);
             }
         }
     }
 
-    /// Time that a suspect has to refute: longer in larger groups, and while this node hears little.
+    /// Returns the time that a suspect has to refute the suspicion: longer in larger groups, and while this node's own
+    /// probes fail.
     pub(super) fn suspicion_timeout(&self) -> Duration {
         let members = self.own_group().map_or(1, GroupView::live_count);
         let scale = (members as f64).log10().max(1.0);
         let timeout = self.settings.probe_interval * self.settings.suspicion_rounds;
-        timeout.mul_f64(scale) * (1 + self.doubt)
+        timeout.mul_f64(scale) * (1 + self.health_score)
     }
 
-    /// A gap between ticks means that this process stood still: no verdict about others, a new
-    /// incarnation for itself, and fresh knowledge before anything else.
-    pub(super) fn notice_pause(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
+    /// Detects by a gap between ticks that this process was paused. Aborts the current probe, postpones suspicions,
+    /// pulls all groups again, and raises the own incarnation if this node is a member.
+    pub(super) fn detect_pause(&mut self, now: MonotonicTime, rng: &mut impl Rng) {
         let gap = now.since(self.last_tick);
         if gap < self.settings.pause_gap {
             return;
@@ -158,13 +160,13 @@
         }
         for watch in self.watches.values_mut() {
             watch.due = now;
-            watch.waiting = None;
+            watch.pending = None;
             watch.silent.clear();
-            watch.answered = now;
+            watch.last_answer = now;
         }
         if self.is_member() {
-            self.reincarnate(now, self.me.incarnation);
-            self.push_eagerly(now, rng, self.me.node, self.settings.eager_fanout, false);
+            self.reincarnate(now, self.own_record.incarnation);
+            self.push_eagerly(now, rng, self.own_record.node, self.settings.eager_fanout, false);
         }
     }
 
@@ -177,18 +179,18 @@
             target,
             sequence: self.sequence,
             indirect_at: now + self.settings.ack_timeout,
-            indirect_asked: false,
+            indirect_sent: false,
             verdict_at: now + self.settings.probe_interval,
         });
     }
 
-    /// The next live member in a shuffled round over the group.
+    /// Returns the next live member in a shuffled round over the group, or `None` if no other member is live.
     fn next_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
         if self.probe_order.is_empty() {
-            let me = self.me.node;
+            let own_node = self.own_record.node;
             let group = self.own_group()?;
             let mut order: Vec<_> =
-                group.live().map(|record| record.node).filter(|node| *node != me).collect();
+                group.live().map(|record| record.node).filter(|node| *node != own_node).collect();
             order.shuffle(rng);
             self.probe_order = order;
         }
@@ -201,7 +203,7 @@
         None
     }
 
-    fn ask_others(&mut self, now: MonotonicTime, rng: &mut impl Rng, round: ProbeRound) {
+    fn send_indirect_probes(&mut self, now: MonotonicTime, rng: &mut impl Rng, round: ProbeRound) {
         let count = self.settings.indirect_probes + 1;
         let helpers =
             self.random_members(rng, count).into_iter().filter(|node| *node != round.target);
@@ -212,21 +214,21 @@
             let message = GossipMessage::new(self.revision, payload);
             self.send(now, SendPriority::Normal, helper, message);
         }
-        self.round = Some(ProbeRound { indirect_asked: true, ..round });
+        self.round = Some(ProbeRound { indirect_sent: true, ..round });
     }
 
     fn fail_probe(&mut self, now: MonotonicTime, rng: &mut impl Rng, round: ProbeRound) {
         self.round = None;
-        self.doubt = MAX_DOUBT.min(self.doubt + 1);
+        self.health_score = MAX_HEALTH_SCORE.min(self.health_score + 1);
         let record = self.own_group().and_then(|group| group.get(round.target));
         let suspect = record.map(|record| record.with_state(MemberState::Suspect));
         if let Some(suspect) = suspect {
-            self.absorb(now, rng, MemberUpdate::new(suspect), true);
+            self.merge_update(now, rng, MemberUpdate::new(suspect), true);
         }
     }
 
     fn end_probe(&mut self, sequence: u64) {
-        self.doubt = self.doubt.saturating_sub(1);
+        self.health_score = self.health_score.saturating_sub(1);
         if self.round.is_some_and(|round| round.sequence == sequence) {
             self.round = None;
         }
--- a/crates/coltsfootroute/src/membership/gossip_engine/pulling.rs
+++ b/crates/coltsfootroute/src/membership/gossip_engine/pulling.rs
@@ -1,4 +1,4 @@
-//! Keeping watched groups, and the own one, equal to what their members know.
+//! Pulls that keep the records of the watched groups, and of the own one, equal to those of their members.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
     time::MonotonicTime,
 };
 
-/// Buckets asked of one member at once; the next ones are asked of another.
+/// Maximum number of buckets requested from one member at a time; the remaining ones are left to the next pull.
 const MAX_WANTED_BUCKETS: usize = 8;
-/// A pull that brought nothing, or not all, is followed by the next after this part of the interval.
+/// Divisor of the pull interval for the next pull after one that returned nothing or not everything.
 const EAGER_PULL_DIVISOR: u32 = 4;
-/// A group of which nobody answers is pulled this many times slower.
-const LOST_PULL_FACTOR: u32 = 3;
-/// Wait before a pull is tried again for which there were no bytes.
+/// Factor by which the pull interval grows for a group of which no member answers.
+const UNREACHABLE_PULL_FACTOR: u32 = 3;
+/// Delay before the retry of a pull that the bandwidth budget did not allow.
 const DEFERRED_PULL_DELAY: Duration = Duration::from_millis(200);
 
 impl GossipEngine {
@@ -34,15 +34,15 @@
         }
     }
 
-    /// A member answered that its records are the same.
-    pub(super) fn take_match(&mut self, now: MonotonicTime, service: &ServiceName) {
+    /// Handles a member's reply that its records are the same.
+    pub(super) fn handle_match(&mut self, now: MonotonicTime, service: &ServiceName) {
         if let Some(watch) = self.watches.get_mut(service) {
             watch.note_answer(now);
         }
     }
 
-    /// A member answered with the digests of its buckets: asks for those that differ.
-    pub(super) fn take_buckets(
+    /// Handles the digests of a member's buckets: requests the records of buckets that differ.
+    pub(super) fn handle_buckets(
         &mut self,
         now: MonotonicTime,
         rng: &mut impl Rng,
@@ -50,7 +50,7 @@
         service: ServiceName,
         digests: &[u32],
     ) {
-        self.take_match(now, &service);
+        self.handle_match(now, &service);
         let Some(group) = self.groups.get(&service) else { return };
         if !is_bucket_count(digests.len()) {
             return;
@@ -70,9 +70,9 @@
         self.send(now, SendPriority::Normal, from, GossipMessage::new(self.revision, payload));
     }
 
-    /// A member sent the records of some buckets: tells it of live ones that it does not have, for its
-    /// group to check.
-    pub(super) fn take_records(
+    /// Handles the records of some buckets: sends the member the live records that it lacks, so that its group can
+    /// check them.
+    pub(super) fn handle_records(
         &mut self,
         now: MonotonicTime,
         from: NodeId,
@@ -89,23 +89,28 @@
         let complete: IndexSet<u16> = complete.iter().copied().collect();
         let named: IndexSet<NodeId> = updates.iter().map(|update| update.record.node).collect();
         let own = group.bucket_updates(now, count, &complete).into_values().flatten();
-        let lacking = own
+        let missing = own
             .filter(|update| update.record.state.is_live() && !named.contains(&update.record.node));
-        let lacking: Vec<_> = lacking.collect();
-        self.correct(now, from, lacking);
+        let missing: Vec<_> = missing.collect();
+        self.send_corrections(now, from, missing);
     }
 
-    /// A node outside the group answered with the members that it knows.
-    pub(super) fn take_seeds(&mut self, now: MonotonicTime, service: &ServiceName, any: bool) {
+    /// Handles the reply of a node outside the group, which holds the members that it knows.
+    pub(super) fn handle_seeds(
+        &mut self,
+        now: MonotonicTime,
+        service: &ServiceName,
+        has_updates: bool,
+    ) {
         let Some(watch) = self.watches.get_mut(service) else { return };
-        watch.waiting = None;
-        if any {
+        watch.pending = None;
+        if has_updates {
             self.pull_again_soon(now, service);
         }
     }
 
     fn pull(&mut self, now: MonotonicTime, rng: &mut impl Rng, service: &ServiceName) {
-        self.note_silence(now, service);
+        self.note_unanswered_pull(now, service);
         let interval = self.pull_interval(now, service);
         let target = self.pull_target(now, rng, service);
         let priority = self.pull_priority(now, service);
@@ -117,7 +122,7 @@
             if !self.send(now, priority, target, message) {
                 wait = DEFERRED_PULL_DELAY;
             } else if let Some(watch) = self.watches.get_mut(service) {
-                watch.waiting = Some(target);
+                watch.pending = Some(target);
             }
         }
         if let Some(watch) = self.watches.get_mut(service) {
@@ -125,11 +130,11 @@
         }
     }
 
-    /// The node asked last has not answered: it is asked less, and a group of which nobody answers
-    /// for long, nor takes calls, is hidden.
-    fn note_silence(&mut self, now: MonotonicTime, service: &ServiceName) {
+    /// Notes the target of the last pull as silent if it has not answered, so that other members are preferred. Hides a
+    /// group of which no member has answered pulls or calls for a long time.
+    fn note_unanswered_pull(&mut self, now: MonotonicTime, service: &ServiceName) {
         let Some(watch) = self.watches.get_mut(service) else { return };
-        let Some(target) = watch.waiting.take() else { return };
+        let Some(target) = watch.pending.take() else { return };
         watch.silent.insert(target);
         let may_be_gone = watch.may_be_gone(now, self.settings.hide_after);
         if !may_be_gone || self.is_member_of(service) {
@@ -143,8 +148,8 @@
         }
     }
 
-    /// Hides the live members of a group that does not answer. Nothing is said to others about them:
-    /// this node's own link may be what is down.
+    /// Hides the live members of a group that does not answer. Sends no update about them to other nodes, because the
+    /// fault may be in this node's own connection.
     fn hide_group(&mut self, now: MonotonicTime, service: &ServiceName) {
         let Some(group) = self.groups.get_mut(service) else { return };
         let nodes: Vec<_> = group.live().map(|record| record.node).collect();
@@ -159,8 +164,8 @@
         self.effects.push(GossipEffect::Changed { service: service.clone() });
     }
 
-    /// A random live member that has not been silent; then any; then those lost; then anyone who may
-    /// know.
+    /// Chooses the target of a pull: a random live member that has not failed to answer, else any live member, else a
+    /// hidden or dead one, else any other known node. `None` if no node is known.
     fn pull_target(
         &self,
         now: MonotonicTime,
@@ -169,44 +174,46 @@
     ) -> Option<NodeId> {
         let group = self.groups.get(service)?;
         let watch = self.watches.get(service)?;
-        let others = || group.live().map(|record| record.node).filter(|node| *node != self.me.node);
+        let others =
+            || group.live().map(|record| record.node).filter(|node| *node != self.own_record.node);
         let answering = others().filter(|node| !watch.silent.contains(node)).choose(rng);
-        // When all are silent, every second pull asks elsewhere.
+        // If no member answers, every second pull on average goes to a node outside the group.
         let elsewhere = rng.random_bool(0.5);
         let members = if elsewhere { None } else { others().choose(rng) };
         answering
             .or(members)
-            .or_else(|| group.lost().filter(|_| !elsewhere).choose(rng))
-            .or_else(|| self.cross_target(now, rng))
+            .or_else(|| group.recovery_candidates().filter(|_| !elsewhere).choose(rng))
+            .or_else(|| self.cross_group_target(now, rng))
             .or_else(|| others().choose(rng))
-            .or_else(|| group.lost().choose(rng))
+            .or_else(|| group.recovery_candidates().choose(rng))
     }
 
-    /// Short after an unanswered pull if there is another member to ask; long for a group of which
-    /// nobody answers, so that the search for it doesn't eat the bytes of everything else.
+    /// Returns the interval until the next pull: short after an unanswered pull if there is another member to pull
+    /// from; long for a group of which no member answers, so that the search for it does not use up the bandwidth of
+    /// other traffic.
     fn pull_interval(&self, now: MonotonicTime, service: &ServiceName) -> Duration {
         let (Some(watch), Some(group)) = (self.watches.get(service), self.groups.get(service))
         else {
             return self.settings.pull_interval;
         };
-        let interval = self.calm_interval(now, service, watch);
-        let others = group.live().filter(|record| record.node != self.me.node);
-        let (mut unasked, mut members) = (false, false);
+        let interval = self.base_interval(now, service, watch);
+        let others = group.live().filter(|record| record.node != self.own_record.node);
+        let (mut has_untried, mut has_members) = (false, false);
         for member in others {
-            members = true;
-            unasked |= !watch.silent.contains(&member.node);
+            has_members = true;
+            has_untried |= !watch.silent.contains(&member.node);
         }
-        let lost = !members && now.since(watch.answered) >= self.settings.hide_after;
-        if lost {
-            interval.max(self.settings.pull_interval * LOST_PULL_FACTOR)
-        } else if unasked && !watch.silent.is_empty() {
+        let unreachable = !has_members && now.since(watch.last_answer) >= self.settings.hide_after;
+        if unreachable {
+            interval.max(self.settings.pull_interval * UNREACHABLE_PULL_FACTOR)
+        } else if has_untried && !watch.silent.is_empty() {
             interval / EAGER_PULL_DIVISOR
         } else {
             interval
         }
     }
 
-    fn calm_interval(
+    fn base_interval(
         &self,
         now: MonotonicTime,
         service: &ServiceName,
@@ -214,7 +221,7 @@
     ) -> Duration {
         let alone = self.groups.get(service).is_none_or(|group| group.live_count() <= 1);
         match self.is_member_of(service) {
-            true if alone => self.settings.cross_interval,
+            true if alone => self.settings.cross_group_interval,
             true => self.settings.sync_interval,
             false if self.is_cold(now, watch) => self.settings.cold_pull_interval,
             false => self.settings.pull_interval,
@@ -227,8 +234,8 @@
     }
 
     fn is_cold(&self, now: MonotonicTime, watch: &WatchState) -> bool {
-        let many = self.watches.len() > self.settings.hot_watches;
-        many && now.since(watch.used) >= self.settings.cold_after
+        let many = self.watches.len() > self.settings.max_hot_watches;
+        many && now.since(watch.last_used) >= self.settings.cold_after
     }
 
     fn pull_again_soon(&mut self, now: MonotonicTime, service: &ServiceName) {
@@ -239,7 +246,7 @@
     }
 }
 
-/// Whether `count` buckets can be compared.
+/// Whether `count` is a valid number of buckets: a power of two up to [`MAX_BUCKETS`].
 pub(super) fn is_bucket_count(count: usize) -> bool {
     count.is_power_of_two() && count <= MAX_BUCKETS
 }
--- a/crates/coltsfootroute/tests/integration/membership/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/membership/fuzz.rs
@@ -1,9 +1,9 @@
-//! Fuzz against an oracle: what each node truly is.
+//! Fuzz test against an oracle that holds the true state of each node.
 //!
-//! At every step: what a node shows of another never falls in the merge order, so that a leave is never
-//! undone at its incarnation and incarnations never go back; own incarnations rise; control bytes keep
-//! to the budget. After healing and quiet: every live member is alive wherever it is watched, and no
-//! other is shown.
+//! Checked at every step: a record that a node shows of another never decreases in the merge order, so that no leave is
+//! undone within its incarnation and no incarnation decreases; a node's own incarnation never decreases; control
+//! traffic stays within the budget. Checked at the end, after the network has healed and settled: every live member is
+//! shown as alive by every node, and no other node is shown.
 
 use std::{cmp::Ordering, time::Duration};
 
@@ -17,18 +17,19 @@
 
 use crate::util::fuzz_config::fuzz_config;
 
-use super::network::{GossipNetwork, Life, node_id};
+use super::network::{GossipNetwork, ProcessState, node_id};
 
 const NODES: usize = 7;
 const SERVICES: [&str; 2] = ["logbook", "medicals"];
 const RESTART_TIME: Duration = Duration::from_millis(50);
-/// Long enough for a suspicion, a round of dead probes over all nodes, and a comparison of groups.
-const QUIET: Duration = Duration::from_secs(120);
+/// Time in which the network settles: long enough for a suspicion to expire, for probes of all dead members, and for a
+/// comparison of groups.
+const SETTLING_TIME: Duration = Duration::from_secs(120);
 
-/// What a node truly is.
+/// Actual state of a node.
 #[derive(Clone, Debug)]
-struct TrueNode {
-    life: Life,
+struct ExpectedNode {
+    process: ProcessState,
     service: Option<usize>,
 }
 
@@ -47,15 +48,17 @@
     Run(u64),
 }
 
-struct TrueMembership;
+struct ExpectedMembership;
 
-impl ReferenceStateMachine for TrueMembership {
-    type State = Vec<TrueNode>;
+impl ReferenceStateMachine for ExpectedMembership {
+    type State = Vec<ExpectedNode>;
     type Transition = FuzzStep;
 
     fn init_state() -> BoxedStrategy<Self::State> {
-        let node =
-            |place: usize| TrueNode { life: Life::Up, service: Some(usize::from(place >= 4)) };
+        let node = |place: usize| ExpectedNode {
+            process: ProcessState::Up,
+            service: Some(usize::from(place >= 4)),
+        };
         Just((0..NODES).map(node).collect::<Vec<_>>()).boxed()
     }
 
@@ -85,10 +88,12 @@
         match *step {
             FuzzStep::Announce(node, service) => state[node].service = Some(service),
             FuzzStep::Leave(node) => state[node].service = None,
-            FuzzStep::Kill(node) => state[node].life = Life::Killed,
-            FuzzStep::Restart(node) => state[node] = TrueNode { life: Life::Up, service: None },
-            FuzzStep::Pause(node) => state[node].life = Life::Paused,
-            FuzzStep::Resume(node) => state[node].life = Life::Up,
+            FuzzStep::Kill(node) => state[node].process = ProcessState::Killed,
+            FuzzStep::Restart(node) => {
+                state[node] = ExpectedNode { process: ProcessState::Up, service: None }
+            }
+            FuzzStep::Pause(node) => state[node].process = ProcessState::Paused,
+            FuzzStep::Resume(node) => state[node].process = ProcessState::Up,
             _ => {}
         }
         state
@@ -97,21 +102,21 @@
     fn preconditions(state: &Self::State, step: &FuzzStep) -> bool {
         match *step {
             FuzzStep::Announce(node, _) | FuzzStep::Leave(node) | FuzzStep::Pause(node) => {
-                state[node].life == Life::Up
+                state[node].process == ProcessState::Up
             }
-            FuzzStep::Resume(node) => state[node].life == Life::Paused,
-            FuzzStep::Kill(node) => state[node].life != Life::Killed,
+            FuzzStep::Resume(node) => state[node].process == ProcessState::Paused,
+            FuzzStep::Kill(node) => state[node].process != ProcessState::Killed,
             _ => true,
         }
     }
 }
 
-/// Observer, its life, the one observed, the service.
-type Sight = (NodeId, u64, NodeId, &'static str);
+/// Observer, number of its starts, observed node, service.
+type ObservationKey = (NodeId, u64, NodeId, &'static str);
 
 struct FuzzedNetwork {
     network: GossipNetwork,
-    seen: IndexMap<Sight, MemberRecord>,
+    seen: IndexMap<ObservationKey, MemberRecord>,
     own: IndexMap<NodeId, Incarnation>,
 }
 
@@ -128,21 +133,22 @@
         fuzzed
     }
 
-    /// All know two peers, which may be down themselves.
+    /// Starts a node with two peers in its settings, which may be down themselves.
     fn start(&mut self, place: usize) {
         self.network.start(fuzz_node(place), vec![fuzz_node(0), fuzz_node(5)]);
         self.network.watch(fuzz_node(place), &SERVICES);
     }
 
-    /// A new process takes some time, so that its clock stands above the incarnations of the old one.
+    /// Restarts a node. The new process starts some time later, so that its clock is above the incarnations of the old
+    /// one.
     fn restart(&mut self, place: usize) {
         self.network.kill(fuzz_node(place));
         self.run(RESTART_TIME);
         self.start(place);
     }
 
-    /// All learn of one node that is up, as they would by the table service: the peers of their
-    /// settings may all be dead.
+    /// Introduces one running node to all others, as the table service would, because the peers in their settings may
+    /// all be dead.
     fn introduce(&mut self) {
         let up: Vec<_> = self.network.up_nodes().map(|(node, _)| node).collect();
         let now = self.network.now;
@@ -156,19 +162,19 @@
         while self.network.now < end {
             let step = end.since(self.network.now).min(Duration::from_millis(200));
             self.network.run(step);
-            self.look();
+            self.check_invariants();
         }
     }
 
-    fn look(&mut self) {
+    fn check_invariants(&mut self) {
         for (observer, state) in self.network.up_nodes() {
             let incarnation = state.engine.own_record().incarnation;
             let before = self.own.insert(observer, incarnation);
-            assert!(before <= Some(incarnation), "own incarnation of {observer} fell");
+            assert!(before <= Some(incarnation), "own incarnation of {observer} decreased");
             for service in SERVICES {
                 for record in state.engine.records(service) {
-                    let sight = (observer, state.lives, record.node, service);
-                    if let Some(before) = self.seen.insert(sight, record.clone()) {
+                    let key = (observer, state.start_count, record.node, service);
+                    if let Some(before) = self.seen.insert(key, record.clone()) {
                         assert_ne!(
                             record.merge_order(&before),
                             Ordering::Less,
@@ -191,13 +197,13 @@
 
 impl StateMachineTest for MembershipFuzz {
     type SystemUnderTest = FuzzedNetwork;
-    type Reference = TrueMembership;
+    type Reference = ExpectedMembership;
 
-    fn init_test(_: &Vec<TrueNode>) -> FuzzedNetwork {
+    fn init_test(_: &Vec<ExpectedNode>) -> FuzzedNetwork {
         FuzzedNetwork::new()
     }
 
-    fn apply(mut fuzzed: FuzzedNetwork, _: &Vec<TrueNode>, step: FuzzStep) -> FuzzedNetwork {
+    fn apply(mut fuzzed: FuzzedNetwork, _: &Vec<ExpectedNode>, step: FuzzStep) -> FuzzedNetwork {
         let network = &mut fuzzed.network;
         match step {
             FuzzStep::Announce(node, service) => {
@@ -218,31 +224,32 @@
             FuzzStep::Delay(millis) => network.max_delay = Duration::from_millis(millis),
             FuzzStep::Run(millis) => fuzzed.run(Duration::from_millis(millis)),
         }
-        fuzzed.look();
+        fuzzed.check_invariants();
         fuzzed
     }
 
-    fn teardown(mut fuzzed: FuzzedNetwork, mut truth: Vec<TrueNode>) {
+    fn teardown(mut fuzzed: FuzzedNetwork, mut truth: Vec<ExpectedNode>) {
         fuzzed.network.heal();
         fuzzed.network.loss_percent = 0;
         fuzzed.network.max_delay = Duration::from_millis(5);
         for (place, node) in truth.iter_mut().enumerate() {
-            if node.life == Life::Paused {
+            if node.process == ProcessState::Paused {
                 fuzzed.network.resume(fuzz_node(place));
-                node.life = Life::Up;
+                node.process = ProcessState::Up;
             }
         }
         fuzzed.introduce();
-        fuzzed.run(QUIET);
+        fuzzed.run(SETTLING_TIME);
         check_views(&fuzzed.network, &truth);
     }
 }
 
-/// Each node that is up shows exactly the live members of each service, alive.
-fn check_views(network: &GossipNetwork, truth: &[TrueNode]) {
+/// Checks that each running node shows exactly the live members of each service, all of them alive.
+fn check_views(network: &GossipNetwork, truth: &[ExpectedNode]) {
     for (number, service) in SERVICES.into_iter().enumerate() {
-        let live =
-            |place: &usize| truth[*place].life == Life::Up && truth[*place].service == Some(number);
+        let live = |place: &usize| {
+            truth[*place].process == ProcessState::Up && truth[*place].service == Some(number)
+        };
         let expected: Vec<_> = (0..truth.len())
             .filter(live)
             .map(|place| (fuzz_node(place), MemberState::Alive))
