--- a/crates/coltsfoot-node/src/dispatch/guard/gate_upkeep.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/gate_upkeep.rs
@@ -31,7 +31,7 @@
                 ShedPolicy::Refusals => (settings, AimdLimit::new(slots)),
                 ShedPolicy::Demand => (
                     settings.with_free_percent(FREE_PERCENT),
-                    AimdLimit::new(slots).with_trusted_share(TRUSTED_SHARE),
+                    AimdLimit::new(slots).with_min_decrease_share(TRUSTED_SHARE),
                 ),
             };
             let gate = AdmissionGate::with_limit(settings, limit);
--- a/crates/coltsfootroute/src/admission/admission_gate.rs
+++ b/crates/coltsfootroute/src/admission/admission_gate.rs
@@ -31,7 +31,7 @@
     running: IndexMap<u64, RunningCall>,
     queue: CallQueue,
     /// Since when the queue has not been empty.
-    standing_since: Option<MonotonicTime>,
+    nonempty_since: Option<MonotonicTime>,
     /// By rank: work under way is of another kind than what clients ask for at the same importance.
     service_times: [ServiceTime; RANKS],
     shed: ShedControl,
@@ -62,7 +62,7 @@
             limit,
             running: IndexMap::new(),
             queue: CallQueue::default(),
-            standing_since: None,
+            nonempty_since: None,
             service_times: [ServiceTime::default(); RANKS],
             shed: ShedControl::new(),
             demand: DemandControl::new(),
@@ -72,12 +72,12 @@
 
     /// Offers a call.
     pub fn offer(&mut self, now: MonotonicTime, call: WaitingCall) -> Vec<AdmissionVerdict> {
-        let mut verdicts = self.advanced(now);
+        let mut verdicts = self.advance(now);
         self.shed.on_offer();
         self.demand.on_offer(call.rank());
         if self.draining {
             verdicts.push(refusal(call.id, RefusalReason::Leaving));
-        } else if self.is_doomed(now, &call) {
+        } else if self.will_miss_deadline(now, &call) {
             verdicts.push(refusal(call.id, RefusalReason::Deadline));
         } else if self.has_room() {
             self.start(now, &call, &mut verdicts);
@@ -94,7 +94,7 @@
         id: u64,
         finish: CallFinish,
     ) -> Vec<AdmissionVerdict> {
-        let mut verdicts = self.advanced(now);
+        let mut verdicts = self.advance(now);
         let in_flight = self.in_flight();
         let Some(call) = self.running.swap_remove(&id) else { return verdicts };
         let service_time = now.since(call.started);
@@ -117,12 +117,12 @@
     pub fn cancel(&mut self, now: MonotonicTime, id: u64) -> Vec<AdmissionVerdict> {
         // First, since its time may be up at this very moment.
         self.queue.remove(id);
-        self.advanced(now)
+        self.advance(now)
     }
 
     /// Refuses the waiting calls whose time is up.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<AdmissionVerdict> {
-        self.advanced(now)
+        self.advance(now)
     }
 
     /// When [`AdmissionGate::tick`] has something to do next.
@@ -176,7 +176,7 @@
 
     /// Takes in a change of the upstream's slots, at least 1.
     pub fn set_slots(&mut self, now: MonotonicTime, slots: u32) -> Vec<AdmissionVerdict> {
-        let mut verdicts = self.advanced(now);
+        let mut verdicts = self.advance(now);
         self.settings.slots = slots.max(1);
         self.limit.set_ceiling(self.settings.usable_slots());
         self.start_waiting(now, &mut verdicts);
@@ -184,7 +184,7 @@
     }
 
     /// Brings the gate up to `now`: closes windows, gives up calls whose time is up.
-    fn advanced(&mut self, now: MonotonicTime) -> Vec<AdmissionVerdict> {
+    fn advance(&mut self, now: MonotonicTime) -> Vec<AdmissionVerdict> {
         let mut verdicts = Vec::new();
         self.shed.advance(now, !self.has_room());
         self.demand.advance(now, self.limit.limit());
@@ -194,7 +194,7 @@
                 reason => verdicts.push(refusal(queued.call.id, reason)),
             }
         }
-        self.note_queue(now);
+        self.update_nonempty_since(now);
         verdicts
     }
 
@@ -203,12 +203,12 @@
     }
 
     /// Whether the call can't be expected to finish in time even if it started now.
-    fn is_doomed(&self, now: MonotonicTime, call: &WaitingCall) -> bool {
+    fn will_miss_deadline(&self, now: MonotonicTime, call: &WaitingCall) -> bool {
         now >= call.deadline || now + self.service_times[call.rank()].estimate(now) > call.deadline
     }
 
     fn is_overloaded(&self, now: MonotonicTime) -> bool {
-        self.standing_since.is_some_and(|since| now.since(since) >= self.settings.overload_interval)
+        self.nonempty_since.is_some_and(|since| now.since(since) >= self.settings.overload_interval)
     }
 
     fn serves_newest(&self, now: MonotonicTime) -> bool {
@@ -233,13 +233,13 @@
         let newest = self.serves_newest(now);
         while self.has_room() {
             let Some(queued) = self.queue.pop(newest) else { break };
-            if self.is_doomed(now, &queued.call) {
+            if self.will_miss_deadline(now, &queued.call) {
                 verdicts.push(refusal(queued.call.id, RefusalReason::Deadline));
             } else {
                 self.start(now, &queued.call, verdicts);
             }
         }
-        self.note_queue(now);
+        self.update_nonempty_since(now);
     }
 
     fn enqueue(
@@ -254,7 +254,7 @@
         }
         let queued = self.queued_call(now, call);
         self.queue.push(queued);
-        self.note_queue(now);
+        self.update_nonempty_since(now);
     }
 
     /// Evicts a waiting call in favour of `call`; `false` if all that wait go before it.
@@ -266,19 +266,21 @@
     ) -> bool {
         let Some(rank) = self.queue.lowest_rank() else { return false };
         let newest_first = self.serves_newest(now);
-        if rank > call.rank() || (rank == call.rank() && !self.beats_peers(newest_first, call)) {
+        if rank > call.rank()
+            || (rank == call.rank() && !self.precedes_equal_rank(newest_first, call))
+        {
             return false;
         }
-        let Some(victim) = self.queue.evict(rank, newest_first) else { return false };
-        self.refuse_for_overload(&victim.call, verdicts);
+        let Some(evicted) = self.queue.evict(rank, newest_first) else { return false };
+        self.refuse_for_overload(&evicted.call, verdicts);
         true
     }
 
     /// Whether `call` goes before a waiting call of its own rank: its client has fewer waiting, or
     /// the newest go first.
-    fn beats_peers(&self, newest_first: bool, call: &WaitingCall) -> bool {
+    fn precedes_equal_rank(&self, newest_first: bool, call: &WaitingCall) -> bool {
         let lane = self.queue.lane(call.rank());
-        newest_first || lane.count_of(call.client) + 1 < lane.longest()
+        newest_first || lane.count_of(call.client) + 1 < lane.max_calls_per_client()
     }
 
     fn queued_call(&self, now: MonotonicTime, call: WaitingCall) -> QueuedCall {
@@ -286,14 +288,14 @@
         // A nested call that is given up takes all the work above it along: the short wait is for what has none yet.
         let is_short = self.is_overloaded(now) && !call.under_way;
         let delay = if is_short { settings.overload_queue_delay } else { settings.max_queue_delay };
-        let given_up = now + delay;
+        let wait_limit = now + delay;
         let last_start = call.deadline - self.service_times[call.rank()].estimate(now);
-        if last_start < given_up {
+        if last_start < wait_limit {
             let expiry_reason = RefusalReason::Deadline;
             QueuedCall { call, expiry: last_start, expiry_reason }
         } else {
             let expiry_reason = RefusalReason::Overload;
-            QueuedCall { call, expiry: given_up, expiry_reason }
+            QueuedCall { call, expiry: wait_limit, expiry_reason }
         }
     }
 
@@ -301,19 +303,19 @@
     /// so none would for those.
     fn refuse_for_overload(&mut self, call: &WaitingCall, verdicts: &mut Vec<AdmissionVerdict>) {
         while let Some(rank) = self.queue.lowest_rank().filter(|rank| *rank < call.rank()) {
-            let Some(victim) = self.queue.evict(rank, true) else { break };
-            self.shed.on_refusal(victim.call.importance);
-            verdicts.push(refusal(victim.call.id, RefusalReason::Overload));
+            let Some(evicted) = self.queue.evict(rank, true) else { break };
+            self.shed.on_refusal(evicted.call.importance);
+            verdicts.push(refusal(evicted.call.id, RefusalReason::Overload));
         }
         self.shed.on_refusal(call.importance);
         verdicts.push(refusal(call.id, RefusalReason::Overload));
     }
 
-    fn note_queue(&mut self, now: MonotonicTime) {
+    fn update_nonempty_since(&mut self, now: MonotonicTime) {
         if self.queue.is_empty() {
-            self.standing_since = None;
+            self.nonempty_since = None;
         } else {
-            self.standing_since.get_or_insert(now);
+            self.nonempty_since.get_or_insert(now);
         }
     }
 }
--- a/crates/coltsfootroute/src/admission/call_queue.rs
+++ b/crates/coltsfootroute/src/admission/call_queue.rs
@@ -41,12 +41,12 @@
     pub fn pop(&mut self, newest: bool) -> Option<QueuedCall> {
         let lane = self.lanes.iter_mut().rev().find(|lane| !lane.is_empty())?;
         let id = lane.pop(newest)?;
-        self.forget(id)
+        self.remove_entry(id)
     }
 
     /// Removes one call, if it waits here.
     pub fn remove(&mut self, id: u64) -> Option<QueuedCall> {
-        let queued = self.forget(id)?;
+        let queued = self.remove_entry(id)?;
         self.lanes[queued.call.rank()].remove(queued.call.client, id);
         Some(queued)
     }
@@ -63,7 +63,7 @@
 
     /// Takes the call of `rank` that is given up first.
     pub fn evict(&mut self, rank: usize, oldest: bool) -> Option<QueuedCall> {
-        let id = self.lanes[rank].victim(oldest)?;
+        let id = self.lanes[rank].eviction_candidate(oldest)?;
         self.remove(id)
     }
 
@@ -81,7 +81,7 @@
         self.remove(id)
     }
 
-    fn forget(&mut self, id: u64) -> Option<QueuedCall> {
+    fn remove_entry(&mut self, id: u64) -> Option<QueuedCall> {
         let queued = self.calls.swap_remove(&id)?;
         self.expiries.remove(&(queued.expiry, id));
         Some(queued)
--- a/crates/coltsfootroute/src/admission/client_lane.rs
+++ b/crates/coltsfootroute/src/admission/client_lane.rs
@@ -27,7 +27,7 @@
     /// Takes a call of the client whose turn it is; `newest` picks its newest instead of its oldest.
     pub fn pop(&mut self, newest: bool) -> Option<u64> {
         let client = self.turns.pop_front()?;
-        let id = self.take_from(client, newest)?;
+        let id = self.pop_from(client, newest)?;
         if self.calls.contains_key(&client) {
             self.turns.push_back(client);
         }
@@ -35,13 +35,13 @@
     }
 
     /// Picks the call to give up: of the client with the most calls, its oldest or its newest.
-    pub fn victim(&self, oldest: bool) -> Option<u64> {
+    pub fn eviction_candidate(&self, oldest: bool) -> Option<u64> {
         let calls = self.calls.values().max_by_key(|calls| calls.len())?;
         if oldest { calls.front().copied() } else { calls.back().copied() }
     }
 
     /// The most calls that one client has waiting.
-    pub fn longest(&self) -> usize {
+    pub fn max_calls_per_client(&self) -> usize {
         self.calls.values().map(VecDeque::len).max().unwrap_or(0)
     }
 
@@ -65,7 +65,7 @@
         self.calls.is_empty()
     }
 
-    fn take_from(&mut self, client: u64, newest: bool) -> Option<u64> {
+    fn pop_from(&mut self, client: u64, newest: bool) -> Option<u64> {
         let calls = self.calls.get_mut(&client)?;
         let id = if newest { calls.pop_back() } else { calls.pop_front() };
         if calls.is_empty() {
--- a/crates/coltsfootroute/src/admission/limit.rs
+++ b/crates/coltsfootroute/src/admission/limit.rs
@@ -12,14 +12,14 @@
 
 /// Lowest limit as a share of the slots: no phase shuts an upstream down, and there are always
 /// calls in flight to learn from.
-const FLOOR_SHARE: f64 = 0.1;
+const MIN_LIMIT_SHARE: f64 = 0.1;
 
 /// The lowest limit for a ceiling.
-fn floor_of(ceiling: u32) -> f64 {
-    (f64::from(ceiling) * FLOOR_SHARE).max(1.0)
+fn min_limit(ceiling: u32) -> f64 {
+    (f64::from(ceiling) * MIN_LIMIT_SHARE).max(1.0)
 }
 
 /// A limit in whole calls, between 1 and the ceiling.
-fn whole(limit: f64, ceiling: u32) -> u32 {
+fn whole_calls(limit: f64, ceiling: u32) -> u32 {
     (limit as u32).clamp(1, ceiling)
 }
--- a/crates/coltsfootroute/src/admission/limit/aimd_limit.rs
+++ b/crates/coltsfootroute/src/admission/limit/aimd_limit.rs
@@ -2,23 +2,23 @@
 
 use std::time::Duration;
 
-use super::{floor_of, whole};
+use super::{min_limit, whole_calls};
 use crate::{
     admission::{CallFinish, ConcurrencyLimit, FinishSample},
     time::MonotonicTime,
 };
 
 /// Factor of one decrease.
-const DECREASE: f64 = 0.8;
+const DECREASE_FACTOR: f64 = 0.8;
 /// Least time between two decreases: the calls of one burst of refusals count once.
-const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
+const MIN_DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 /// Time in which the limit grows from zero to the ceiling at full speed.
-const REOPEN_TIME: Duration = Duration::from_secs(1);
+const FULL_GROWTH_TIME: Duration = Duration::from_secs(1);
 /// Time after a decrease until growth is at full speed.
 const RAMP_TIME: Duration = Duration::from_millis(500);
 /// Longest time that the growth of one step stands for, so that a single success after a long
 /// silence doesn't open the limit at once.
-const MAX_STEP: Duration = Duration::from_millis(500);
+const MAX_GROWTH_STEP: Duration = Duration::from_millis(500);
 
 /// Lowers the limit when the upstream sheds and grows it again while calls succeed.
 ///
@@ -32,9 +32,9 @@
     limit: f64,
     last_decrease: Option<MonotonicTime>,
     last_growth: MonotonicTime,
-    timeouts_count: bool,
+    decreases_on_timeout: bool,
     /// Share of the ceiling below which a rejection says nothing of the upstream's room.
-    trusted_share: f64,
+    min_decrease_share: f64,
 }
 
 impl AimdLimit {
@@ -46,58 +46,60 @@
             limit: f64::from(ceiling),
             last_decrease: None,
             last_growth: MonotonicTime::ZERO,
-            timeouts_count: false,
-            trusted_share: 0.0,
+            decreases_on_timeout: false,
+            min_decrease_share: 0.0,
         }
     }
 
     /// Also lowers the limit when a call times out.
-    pub fn with_timeouts(self, timeouts_count: bool) -> Self {
-        Self { timeouts_count, ..self }
+    pub fn with_timeouts(self, decreases_on_timeout: bool) -> Self {
+        Self { decreases_on_timeout, ..self }
     }
 
     /// Takes rejections while fewer calls than `share` of the ceiling are in flight, between 0 and 1, for a
     /// fault of the upstream: fewer calls would not make it reject less.
-    pub fn with_trusted_share(self, share: f64) -> Self {
-        Self { trusted_share: share, ..self }
+    pub fn with_min_decrease_share(self, share: f64) -> Self {
+        Self { min_decrease_share: share, ..self }
     }
 
     fn decrease(&mut self, now: MonotonicTime, in_flight: u32) {
-        if f64::from(in_flight) < f64::from(self.ceiling) * self.trusted_share {
+        if f64::from(in_flight) < f64::from(self.ceiling) * self.min_decrease_share {
             return;
         }
-        let too_soon = |last| now.since(last) < DECREASE_INTERVAL;
+        let too_soon = |last| now.since(last) < MIN_DECREASE_INTERVAL;
         if self.last_decrease.is_some_and(too_soon) {
             return;
         }
         let in_use = self.limit.min(f64::from(in_flight));
-        self.limit = (in_use * DECREASE).max(floor_of(self.ceiling));
+        self.limit = (in_use * DECREASE_FACTOR).max(min_limit(self.ceiling));
         self.last_decrease = Some(now);
         self.last_growth = now;
     }
 
     fn grow(&mut self, now: MonotonicTime) {
-        let step = now.since(self.last_growth).min(MAX_STEP);
+        let step = now.since(self.last_growth).min(MAX_GROWTH_STEP);
         self.last_growth = now;
         let ramp = match self.last_decrease {
             Some(last) => now.since(last).div_duration_f64(RAMP_TIME).min(1.0),
             None => 1.0,
         };
         let ceiling = f64::from(self.ceiling);
-        let growth = ceiling * step.div_duration_f64(REOPEN_TIME) * ramp;
+        let growth = ceiling * step.div_duration_f64(FULL_GROWTH_TIME) * ramp;
         self.limit = (self.limit + growth).min(ceiling);
     }
 }
 
 impl ConcurrencyLimit for AimdLimit {
     fn limit(&self) -> u32 {
-        whole(self.limit, self.ceiling)
+        whole_calls(self.limit, self.ceiling)
     }
 
     fn on_finish(&mut self, now: MonotonicTime, sample: &FinishSample) {
         match sample.finish {
             CallFinish::ShedByUpstream => self.decrease(now, sample.in_flight),
-            CallFinish::TimedOut if self.timeouts_count => self.decrease(now, sample.in_flight),
+            CallFinish::TimedOut if self.decreases_on_timeout => {
+                self.decrease(now, sample.in_flight)
+            }
             CallFinish::Succeeded => self.grow(now),
             CallFinish::TimedOut | CallFinish::Failed | CallFinish::Cancelled => (),
         }
--- a/crates/coltsfootroute/src/admission/limit/delay_limit.rs
+++ b/crates/coltsfootroute/src/admission/limit/delay_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{floor_of, whole};
+use super::{min_limit, whole_calls};
 use crate::{
     admission::{CallFinish, ConcurrencyLimit, FinishSample},
     time::MonotonicTime,
@@ -11,13 +11,13 @@
 /// Length of one interval, over which only the least delay counts: bursts are no standing queue.
 const INTERVAL: Duration = Duration::from_millis(100);
 /// Time after which the base service time is measured afresh.
-const BASE_AGE: Duration = Duration::from_secs(10);
+const MAX_BASE_AGE: Duration = Duration::from_secs(10);
 /// Standing delay allowed, as a multiple of the base service time.
-const TARGET_FACTOR: f64 = 1.0;
+const TARGET_DELAY_FACTOR: f64 = 1.0;
 /// Factor of one decrease.
-const DECREASE: f64 = 0.8;
+const DECREASE_FACTOR: f64 = 0.8;
 /// Growth in one interval, as a share of the ceiling.
-const GROWTH: f64 = 0.1;
+const GROWTH_SHARE: f64 = 0.1;
 
 /// Lowers the limit while the least service time of an interval exceeds the base by the target.
 #[derive(Clone, Debug)]
@@ -25,10 +25,10 @@
     ceiling: u32,
     /// Between the floor and the ceiling.
     limit: f64,
-    base: Option<Duration>,
-    base_since: MonotonicTime,
-    least: Option<Duration>,
-    shed: bool,
+    base_service_time: Option<Duration>,
+    base_measured_at: MonotonicTime,
+    min_service_time: Option<Duration>,
+    has_shed: bool,
     interval_start: MonotonicTime,
 }
 
@@ -39,52 +39,52 @@
         Self {
             ceiling,
             limit: f64::from(ceiling),
-            base: None,
-            base_since: MonotonicTime::ZERO,
-            least: None,
-            shed: false,
+            base_service_time: None,
+            base_measured_at: MonotonicTime::ZERO,
+            min_service_time: None,
+            has_shed: false,
             interval_start: MonotonicTime::ZERO,
         }
     }
 
     fn close_interval(&mut self, now: MonotonicTime) {
         self.interval_start = now;
-        let overloaded = std::mem::take(&mut self.shed) || self.has_standing_delay(now);
+        let overloaded = std::mem::take(&mut self.has_shed) || self.has_standing_delay(now);
         let next = if overloaded {
-            self.limit * DECREASE
+            self.limit * DECREASE_FACTOR
         } else {
-            self.limit + f64::from(self.ceiling) * GROWTH
+            self.limit + f64::from(self.ceiling) * GROWTH_SHARE
         };
-        self.limit = next.clamp(floor_of(self.ceiling), f64::from(self.ceiling));
+        self.limit = next.clamp(min_limit(self.ceiling), f64::from(self.ceiling));
     }
 
     fn has_standing_delay(&mut self, now: MonotonicTime) -> bool {
-        let Some(least) = self.least.take() else { return false };
-        let is_old = now.since(self.base_since) > BASE_AGE;
-        let base = match self.base {
+        let Some(least) = self.min_service_time.take() else { return false };
+        let is_old = now.since(self.base_measured_at) > MAX_BASE_AGE;
+        let base = match self.base_service_time {
             Some(base) if base <= least && !is_old => base,
             _ => {
-                self.base = Some(least);
-                self.base_since = now;
+                self.base_service_time = Some(least);
+                self.base_measured_at = now;
                 least
             }
         };
-        least > base + base.mul_f64(TARGET_FACTOR)
+        least > base + base.mul_f64(TARGET_DELAY_FACTOR)
     }
 }
 
 impl ConcurrencyLimit for DelayLimit {
     fn limit(&self) -> u32 {
-        whole(self.limit, self.ceiling)
+        whole_calls(self.limit, self.ceiling)
     }
 
     fn on_finish(&mut self, now: MonotonicTime, sample: &FinishSample) {
         match sample.finish {
             CallFinish::Succeeded | CallFinish::TimedOut => {
-                let least = self.least.unwrap_or(sample.service_time);
-                self.least = Some(least.min(sample.service_time));
+                let least = self.min_service_time.unwrap_or(sample.service_time);
+                self.min_service_time = Some(least.min(sample.service_time));
             }
-            CallFinish::ShedByUpstream => self.shed = true,
+            CallFinish::ShedByUpstream => self.has_shed = true,
             CallFinish::Failed | CallFinish::Cancelled => (),
         }
         if now.since(self.interval_start) >= INTERVAL {
@@ -94,6 +94,6 @@
 
     fn set_ceiling(&mut self, slots: u32) {
         self.ceiling = slots.max(1);
-        self.limit = self.limit.clamp(floor_of(self.ceiling), f64::from(self.ceiling));
+        self.limit = self.limit.clamp(min_limit(self.ceiling), f64::from(self.ceiling));
     }
 }
--- a/crates/coltsfootroute/src/admission/limit/gradient_limit.rs
+++ b/crates/coltsfootroute/src/admission/limit/gradient_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{floor_of, whole};
+use super::{min_limit, whole_calls};
 use crate::{
     admission::{CallFinish, ConcurrencyLimit, FinishSample},
     time::MonotonicTime,
@@ -13,11 +13,11 @@
 /// Weight of a sample in the long average.
 const LONG_WEIGHT: f64 = 0.002;
 /// Latency may exceed the long average by this factor before the limit falls.
-const TOLERANCE: f64 = 1.5;
+const TOLERANCE_FACTOR: f64 = 1.5;
 /// Lowest gradient of one step.
 const MIN_GRADIENT: f64 = 0.5;
 /// Weight of a step in the limit.
-const SMOOTHING: f64 = 0.2;
+const STEP_WEIGHT: f64 = 0.2;
 /// Time between two steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -58,16 +58,16 @@
     }
 
     fn step(&mut self) {
-        let ratio = TOLERANCE * self.long_micros / self.short_micros.max(1.0);
+        let ratio = TOLERANCE_FACTOR * self.long_micros / self.short_micros.max(1.0);
         let target = self.limit * ratio.clamp(MIN_GRADIENT, 1.0) + self.limit.sqrt();
-        let next = self.limit + (target - self.limit) * SMOOTHING;
-        self.limit = next.clamp(floor_of(self.ceiling), f64::from(self.ceiling));
+        let next = self.limit + (target - self.limit) * STEP_WEIGHT;
+        self.limit = next.clamp(min_limit(self.ceiling), f64::from(self.ceiling));
     }
 }
 
 impl ConcurrencyLimit for GradientLimit {
     fn limit(&self) -> u32 {
-        whole(self.limit, self.ceiling)
+        whole_calls(self.limit, self.ceiling)
     }
 
     fn on_finish(&mut self, now: MonotonicTime, sample: &FinishSample) {
@@ -84,6 +84,6 @@
 
     fn set_ceiling(&mut self, slots: u32) {
         self.ceiling = slots.max(1);
-        self.limit = self.limit.clamp(floor_of(self.ceiling), f64::from(self.ceiling));
+        self.limit = self.limit.clamp(min_limit(self.ceiling), f64::from(self.ceiling));
     }
 }
--- a/crates/coltsfootroute/src/admission/reached_services.rs
+++ b/crates/coltsfootroute/src/admission/reached_services.rs
@@ -10,7 +10,7 @@
 };
 
 /// A service not reached for so long is forgotten: a new release may call others.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+const SERVICE_RETENTION: Duration = Duration::from_secs(60);
 /// Operations remembered at most.
 const MAX_OPERATIONS: usize = 4_096;
 
@@ -20,14 +20,14 @@
 /// Invariant: an operation's own service is always among those it reaches.
 #[derive(Clone, Debug, Default)]
 pub struct ReachedServices {
-    operations: IndexMap<ServiceName, IndexMap<OperationName, ReachEntry>>,
-    count: usize,
+    operations: IndexMap<ServiceName, IndexMap<OperationName, OperationEntry>>,
+    operation_count: usize,
 }
 
 #[derive(Clone, Debug)]
-struct ReachEntry {
+struct OperationEntry {
     /// When each service was reached last.
-    seen: IndexMap<ServiceName, MonotonicTime>,
+    last_reached: IndexMap<ServiceName, MonotonicTime>,
     /// The same services, to be shared.
     services: Arc<[ServiceName]>,
 }
@@ -47,19 +47,19 @@
         services: impl Iterator<Item = &'a ServiceName>,
     ) {
         let Some(entry) = self.entry(now, service, operation) else { return };
-        let before = entry.seen.len();
+        let before = entry.last_reached.len();
         for reached in services {
-            match entry.seen.get_mut(reached) {
-                Some(seen) => *seen = now,
+            match entry.last_reached.get_mut(reached) {
+                Some(last_reached) => *last_reached = now,
                 None => {
-                    entry.seen.insert(reached.clone(), now);
+                    entry.last_reached.insert(reached.clone(), now);
                 }
             }
         }
-        entry.seen.insert(service.clone(), now);
-        entry.seen.retain(|_, seen| now.since(*seen) < FORGET_AFTER);
-        if entry.seen.len() != before || entry.services.len() != before {
-            entry.services = entry.seen.keys().cloned().collect();
+        entry.last_reached.insert(service.clone(), now);
+        entry.last_reached.retain(|_, last_reached| now.since(*last_reached) < SERVICE_RETENTION);
+        if entry.last_reached.len() != before || entry.services.len() != before {
+            entry.services = entry.last_reached.keys().cloned().collect();
         }
     }
 
@@ -78,16 +78,16 @@
         now: MonotonicTime,
         service: &ServiceName,
         operation: &OperationName,
-    ) -> Option<&mut ReachEntry> {
+    ) -> Option<&mut OperationEntry> {
         let is_known =
             self.operations.get(service).is_some_and(|entries| entries.contains_key(operation));
         if !is_known {
-            if self.count >= MAX_OPERATIONS {
+            if self.operation_count >= MAX_OPERATIONS {
                 return None;
             }
-            self.count += 1;
-            let entry = ReachEntry {
-                seen: IndexMap::from([(service.clone(), now)]),
+            self.operation_count += 1;
+            let entry = OperationEntry {
+                last_reached: IndexMap::from([(service.clone(), now)]),
                 services: Arc::from([service.clone()]),
             };
             let entries = self.operations.entry(service.clone()).or_default();
--- a/crates/coltsfootroute/src/admission/service_level.rs
+++ b/crates/coltsfootroute/src/admission/service_level.rs
@@ -8,7 +8,7 @@
 use crate::{id::NodeId, time::MonotonicTime};
 
 /// Silence after which a guard is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+const GUARD_RETENTION: Duration = Duration::from_secs(10);
 
 /// What a caller has heard of one service: over all its guards, and of each.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
             return;
         }
         // A new guard is rare, which makes it the time to forget those long silent.
-        self.guards.retain(|_, known| known.age(now) < FORGET_AFTER);
+        self.guards.retain(|_, known| known.age(now) < GUARD_RETENTION);
         self.guards.insert(guard, LevelAverage::new(now, level));
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// The level of one guard; open if it has not been heard of.
-    pub fn of_guard(&self, now: MonotonicTime, guard: NodeId) -> ShedLevel {
+    pub fn guard_level(&self, now: MonotonicTime, guard: NodeId) -> ShedLevel {
         self.guards.get(&guard).map_or(ShedLevel::OPEN, |known| known.level(now))
     }
 }
--- a/crates/coltsfootroute/src/admission/service_levels.rs
+++ b/crates/coltsfootroute/src/admission/service_levels.rs
@@ -51,7 +51,7 @@
         service: &ServiceName,
         guard: NodeId,
     ) -> ShedLevel {
-        self.services.get(service).map_or(ShedLevel::OPEN, |known| known.of_guard(now, guard))
+        self.services.get(service).map_or(ShedLevel::OPEN, |known| known.guard_level(now, guard))
     }
 
     /// Decides on a request that can reach `services`: admitted, or refused on behalf of the service
--- a/crates/coltsfootroute/src/admission/service_time.rs
+++ b/crates/coltsfootroute/src/admission/service_time.rs
@@ -5,9 +5,9 @@
 use crate::time::MonotonicTime;
 
 /// Step of the estimate for one sample, relative to the estimate.
-const STEP: f64 = 0.1;
+const STEP_RATIO: f64 = 0.1;
 /// Without a sample for this long, and for twice the estimate, the estimate starts to halve.
-const STALE_AFTER: Duration = Duration::from_millis(500);
+const MIN_HALVING_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Running estimate of the median service time.
 ///
@@ -28,9 +28,9 @@
         self.median_micros = if self.last_sample.is_none() || median < 1.0 {
             sample
         } else if sample > median {
-            (median * (1.0 + STEP)).min(sample)
+            (median * (1.0 + STEP_RATIO)).min(sample)
         } else {
-            (median * (1.0 - STEP)).max(sample)
+            (median * (1.0 - STEP_RATIO)).max(sample)
         };
         self.last_sample = Some(now);
     }
@@ -51,10 +51,11 @@
     fn estimate_micros(&self, now: MonotonicTime) -> f64 {
         let Some(last) = self.last_sample else { return 0.0 };
         let age = now.since(last).as_micros() as f64;
-        let patience = (2.0 * self.median_micros).max(STALE_AFTER.as_micros() as f64);
-        if age <= patience {
+        let halving_interval =
+            (2.0 * self.median_micros).max(MIN_HALVING_INTERVAL.as_micros() as f64);
+        if age <= halving_interval {
             return self.median_micros;
         }
-        self.median_micros * (1.0 - age / patience).exp2()
+        self.median_micros * (1.0 - age / halving_interval).exp2()
     }
 }
--- a/crates/coltsfootroute/src/admission/shed_control.rs
+++ b/crates/coltsfootroute/src/admission/shed_control.rs
@@ -8,17 +8,17 @@
 /// Length of one window of observation.
 const WINDOW: Duration = Duration::from_millis(50);
 /// Rise in a window for each call refused beyond the target, over the calls offered, in levels.
-const RISE: f64 = 0.5;
+const RISE_FACTOR: f64 = 0.5;
 /// Share of refusals at the guard that the level settles at: it keeps the queue filled.
-const TARGET: f64 = 0.10;
+const TARGET_REFUSED_SHARE: f64 = 0.10;
 /// Fall in a window without refusals while the upstream is busy, in levels.
-const BUSY_FALL: f64 = 0.02;
+const BUSY_DECREASE: f64 = 0.02;
 /// Factor of the fall in a window without refusals while the upstream has room.
-const IDLE_FACTOR: f64 = 0.8;
+const IDLE_DECAY_FACTOR: f64 = 0.8;
 /// The constant part of that fall, in levels.
-const IDLE_FALL: f64 = 0.02;
+const IDLE_DECREASE: f64 = 0.02;
 /// Most windows without any event that are worked through one by one; after these the level is open.
-const MAX_WINDOWS: u64 = 100;
+const MAX_REPLAYED_WINDOWS: u64 = 100;
 
 /// Turns refusals into a [`ShedLevel`].
 ///
@@ -55,7 +55,7 @@
         if windows == 0 {
             return;
         }
-        self.levels = self.levels_after(windows);
+        self.levels = self.levels_after_windows(windows);
         self.window_start = self.window_start + WINDOW * u32::try_from(windows).unwrap_or(u32::MAX);
         self.offered = 0;
         self.refused = 0;
@@ -77,35 +77,35 @@
     /// The level at `now`.
     pub fn level(&self, now: MonotonicTime) -> ShedLevel {
         let windows = windows_between(self.window_start, now);
-        ShedLevel::from_levels(self.levels_after(windows))
+        ShedLevel::from_levels(self.levels_after_windows(windows))
     }
 
     /// The level after the current window and `windows` − 1 empty ones.
-    fn levels_after(&self, windows: u64) -> f64 {
+    fn levels_after_windows(&self, windows: u64) -> f64 {
         if windows == 0 {
             return self.levels;
         }
-        if windows > MAX_WINDOWS {
+        if windows > MAX_REPLAYED_WINDOWS {
             return 0.0;
         }
-        let first = self.closed_window();
-        (1..windows).fold(first, |levels, _| idle_fall(levels))
+        let first = self.level_after_current_window();
+        (1..windows).fold(first, |levels, _| idle_decrease(levels))
     }
 
-    fn closed_window(&self) -> f64 {
+    fn level_after_current_window(&self) -> f64 {
         if let Some(highest) = self.highest_refused {
             let share = f64::from(self.refused) / f64::from(self.offered.max(self.refused));
             let cap = (highest.index() as f64 + 1.0).max(self.levels);
-            return (self.levels + RISE * (share - TARGET))
+            return (self.levels + RISE_FACTOR * (share - TARGET_REFUSED_SHARE))
                 .min(cap)
                 .clamp(0.0, ShedLevel::MAX.levels());
         }
-        if self.busy { (self.levels - BUSY_FALL).max(0.0) } else { idle_fall(self.levels) }
+        if self.busy { (self.levels - BUSY_DECREASE).max(0.0) } else { idle_decrease(self.levels) }
     }
 }
 
-fn idle_fall(levels: f64) -> f64 {
-    (levels * IDLE_FACTOR - IDLE_FALL).max(0.0)
+fn idle_decrease(levels: f64) -> f64 {
+    (levels * IDLE_DECAY_FACTOR - IDLE_DECREASE).max(0.0)
 }
 
 fn windows_between(start: MonotonicTime, now: MonotonicTime) -> u64 {
--- a/crates/coltsfootroute/src/admission/shed_level.rs
+++ b/crates/coltsfootroute/src/admission/shed_level.rs
@@ -3,7 +3,7 @@
 use crate::importance::Importance;
 
 /// Severity of one whole level of importance.
-const PER_LEVEL: u16 = 1_000;
+const SEVERITY_PER_LEVEL: u16 = 1_000;
 /// Highest severity: a tenth of the most important work stays admitted, so that news keeps coming.
 const MAX_SEVERITY: u16 = 4_900;
 
@@ -31,7 +31,7 @@
 
     /// The level that sheds `levels` whole levels and the fraction of the next.
     pub(super) fn from_levels(levels: f64) -> Self {
-        Self::from_severity((levels.max(0.0) * f64::from(PER_LEVEL)) as u16)
+        Self::from_severity((levels.max(0.0) * f64::from(SEVERITY_PER_LEVEL)) as u16)
     }
 
     /// Thousandths of a level shed, as sent between nodes.
@@ -41,12 +41,12 @@
 
     /// Whole levels shed and the fraction of the next.
     pub fn levels(self) -> f64 {
-        f64::from(self.severity) / f64::from(PER_LEVEL)
+        f64::from(self.severity) / f64::from(SEVERITY_PER_LEVEL)
     }
 
     /// The lowest importance of which some work is admitted.
     pub fn border(self) -> Importance {
-        let index = usize::from(self.severity / PER_LEVEL);
+        let index = usize::from(self.severity / SEVERITY_PER_LEVEL);
         Importance::from_index(index).unwrap_or(Importance::Critical)
     }
 
