--- a/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use coltsfootroute::{
-    drain::{DrainPhase, DrainReport, StartAnswer},
+    drain::{DrainPhase, DrainReport, StartDecision},
     event::EventKind,
     time::MonotonicTime,
 };
@@ -33,7 +33,7 @@
 
 impl Drop for StartedCall {
     fn drop(&mut self) {
-        self.guard.drain.borrow_mut().finished();
+        self.guard.drain.borrow_mut().finish();
     }
 }
 
@@ -42,11 +42,11 @@
     pub fn start_call(self: &Rc<Self>, kind: CallKind) -> Option<StartedCall> {
         let mut drain = self.drain.borrow_mut();
         let answer = match kind {
-            CallKind::Client => drain.client_started(self.context.now()),
-            CallKind::Guarded => drain.started(),
-            CallKind::Nested => drain.nested_started(),
+            CallKind::Client => drain.try_start_client(self.context.now()),
+            CallKind::Guarded => drain.try_start(),
+            CallKind::Nested => drain.try_start_nested(),
         };
-        (answer == StartAnswer::Started).then(|| StartedCall { guard: self.clone() })
+        (answer == StartDecision::Started).then(|| StartedCall { guard: self.clone() })
     }
 
     /// Whether a planned stop has been asked for.
--- a/crates/coltsfootroute/src/deadline/deadline_check.rs
+++ b/crates/coltsfootroute/src/deadline/deadline_check.rs
@@ -25,13 +25,13 @@
         deadline: MonotonicTime,
         needed: Option<Duration>,
     ) -> DeadlineVerdict {
-        let left = deadline.since(now);
-        if left.is_zero() {
+        let remaining = deadline.since(now);
+        if remaining.is_zero() {
             return DeadlineVerdict::Passed;
         }
         let needed = needed.unwrap_or_default() + self.margin;
-        if left < needed {
-            return DeadlineVerdict::TooShort { left, needed };
+        if remaining < needed {
+            return DeadlineVerdict::TooShort { remaining, needed };
         }
         DeadlineVerdict::Admitted
     }
--- a/crates/coltsfootroute/src/deadline/deadline_verdict.rs
+++ b/crates/coltsfootroute/src/deadline/deadline_verdict.rs
@@ -9,10 +9,10 @@
         Admitted,
         /// The deadline has passed.
         Passed,
-        /// Calls like it take longer than what is left.
+        /// Calls like it take longer than what is remaining.
         TooShort {
-            /// Time left.
-            left: Duration,
+            /// Time remaining.
+            remaining: Duration,
             /// Time that calls like it take.
             needed: Duration,
         },
--- a/crates/coltsfootroute/src/deadline/remaining.rs
+++ b/crates/coltsfootroute/src/deadline/remaining.rs
@@ -24,12 +24,12 @@
     }
 
     /// The shorter of what a client asked for and `most`; `most` where it asked for nothing.
-    pub fn asked(asked: Option<Self>, most: Self) -> Self {
-        asked.map_or(most, |remaining| remaining.min(most))
+    pub fn requested_or_max(requested: Option<Self>, max: Self) -> Self {
+        requested.map_or(max, |remaining| remaining.min(max))
     }
 
     /// What is left for the next hop once `margin` is kept back for the way of the answer.
-    pub fn less(self, margin: Duration) -> Self {
+    pub fn minus_margin(self, margin: Duration) -> Self {
         let margin = u64::try_from(margin.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(margin))
     }
--- a/crates/coltsfootroute/src/deadline/service_times.rs
+++ b/crates/coltsfootroute/src/deadline/service_times.rs
@@ -13,20 +13,20 @@
 /// Times of the operations that a node calls or guards, from dispatch to answer: each includes the
 /// rest of the chain below it.
 ///
-/// Invariant: at most `most_operations` estimates, of a fixed size each.
+/// Invariant: at most `max_operations` estimates, of a fixed size each.
 #[derive(Clone, Debug)]
 pub struct ServiceTimes {
     estimates: IndexMap<ServiceName, IndexMap<OperationName, TimeEstimate>>,
-    operations: usize,
-    most_operations: usize,
+    operation_count: usize,
+    max_operations: usize,
     percent: u32,
 }
 
 impl ServiceTimes {
-    /// Estimates for at most `most_operations` operations. An operation takes at least what
+    /// Estimates for at most `max_operations` operations. An operation takes at least what
     /// `percent` of its recent calls stayed below: a small share refuses only what hardly ever finishes.
-    pub fn new(most_operations: usize, percent: u32) -> Self {
-        Self { estimates: IndexMap::new(), operations: 0, most_operations, percent }
+    pub fn new(max_operations: usize, percent: u32) -> Self {
+        Self { estimates: IndexMap::new(), operation_count: 0, max_operations, percent }
     }
 
     /// Takes in the time of a call that ended at `now`, whether it completed or ran out of time.
@@ -41,13 +41,13 @@
             estimate.record(now, time);
             return;
         }
-        if self.operations >= self.most_operations {
+        if self.operation_count >= self.max_operations {
             return;
         }
         let mut estimate = TimeEstimate::new(now);
         estimate.record(now, time);
         self.estimates.entry(service.clone()).or_default().insert(operation.clone(), estimate);
-        self.operations += 1;
+        self.operation_count += 1;
     }
 
     /// Time that a call takes at least; `None` where too little is known.
@@ -67,7 +67,7 @@
             operations.retain(|operation, _| keep(service, operation));
         }
         self.estimates.retain(|_, operations| !operations.is_empty());
-        self.operations = self.estimates.values().map(IndexMap::len).sum();
+        self.operation_count = self.estimates.values().map(IndexMap::len).sum();
     }
 
     fn estimate_mut(
--- a/crates/coltsfootroute/src/deadline/time_estimate.rs
+++ b/crates/coltsfootroute/src/deadline/time_estimate.rs
@@ -19,13 +19,13 @@
 /// Buckets: each is a quarter wider than the one before, from 50 microseconds to about a minute.
 const BUCKETS: usize = 64;
 /// Upper end of the first bucket, in microseconds.
-const FIRST_MICROS: f64 = 50.0;
+const FIRST_BUCKET_MICROS: f64 = 50.0;
 /// Ratio of a bucket's upper end to that of the one before.
-const GROWTH: f64 = 1.25;
+const BUCKET_RATIO: f64 = 1.25;
 /// Count that one sample adds: fractions survive the halving.
-const SAMPLE: u32 = 256;
+const SAMPLE_WEIGHT: u32 = 256;
 /// Least samples, decay counted, for an estimate.
-const LEAST_SAMPLES: u64 = 8;
+const MIN_SAMPLES: u64 = 8;
 /// Time in which a sample loses half its weight.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 /// After as many halvings nothing is left.
@@ -41,14 +41,14 @@
     pub fn record(&mut self, now: MonotonicTime, time: Duration) {
         self.decay(now);
         let count = &mut self.counts[bucket_of(time)];
-        *count = count.saturating_add(SAMPLE);
-        self.total += u64::from(SAMPLE);
+        *count = count.saturating_add(SAMPLE_WEIGHT);
+        self.total += u64::from(SAMPLE_WEIGHT);
     }
 
     /// The time that `percent` of the calls stay below; `None` where too little is known.
     pub fn quantile(&mut self, now: MonotonicTime, percent: u32) -> Option<Duration> {
         self.decay(now);
-        if self.total < LEAST_SAMPLES * u64::from(SAMPLE) {
+        if self.total < MIN_SAMPLES * u64::from(SAMPLE_WEIGHT) {
             return None;
         }
         let wanted = self.total * u64::from(percent.min(100)) / 100;
@@ -56,7 +56,7 @@
         for (bucket, &count) in self.counts.iter().enumerate() {
             below += u64::from(count);
             if count > 0 && below >= wanted {
-                return Some(lower_end(bucket));
+                return Some(lower_bound(bucket));
             }
         }
         None
@@ -79,18 +79,18 @@
 
 fn bucket_of(time: Duration) -> usize {
     let micros = time.as_micros() as f64;
-    if micros <= FIRST_MICROS {
+    if micros <= FIRST_BUCKET_MICROS {
         return 0;
     }
-    let bucket = (micros / FIRST_MICROS).log(GROWTH).ceil() as usize;
+    let bucket = (micros / FIRST_BUCKET_MICROS).log(BUCKET_RATIO).ceil() as usize;
     bucket.min(BUCKETS - 1)
 }
 
 /// Lower end of a bucket: what is refused for lack of time must really take longer.
-fn lower_end(bucket: usize) -> Duration {
+fn lower_bound(bucket: usize) -> Duration {
     if bucket == 0 {
         return Duration::ZERO;
     }
-    let micros = FIRST_MICROS * GROWTH.powi(bucket as i32 - 1);
+    let micros = FIRST_BUCKET_MICROS * BUCKET_RATIO.powi(bucket as i32 - 1);
     Duration::from_micros(micros as u64)
 }
--- a/crates/coltsfootroute/src/drain.rs
+++ b/crates/coltsfootroute/src/drain.rs
@@ -5,11 +5,11 @@
 mod drain_settings;
 mod drain_state;
 mod listener_kind;
-mod start_answer;
+mod start_decision;
 
 pub use drain_phase::DrainPhase;
 pub use drain_report::DrainReport;
 pub use drain_settings::DrainSettings;
 pub use drain_state::DrainState;
 pub use listener_kind::ListenerKind;
-pub use start_answer::StartAnswer;
+pub use start_decision::StartDecision;
--- a/crates/coltsfootroute/tests/integration/deadline.rs
+++ b/crates/coltsfootroute/tests/integration/deadline.rs
@@ -53,7 +53,7 @@
         for (clock, spent, margin) in hops {
             let deadline = remaining.deadline(MonotonicTime(clock));
             let later = MonotonicTime(clock + spent);
-            remaining = Remaining::until(later, deadline).less(Duration::from_micros(margin));
+            remaining = Remaining::until(later, deadline).minus_margin(Duration::from_micros(margin));
             elapsed += spent + margin;
             prop_assert!(remaining.0 * 1_000 <= (asked * 1_000).saturating_sub(elapsed));
         }
--- a/crates/coltsfootroute/tests/integration/drain/drain_fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/drain/drain_fuzz.rs
@@ -1,7 +1,7 @@
 //! Stateful fuzzing of the leave: nothing starts after it, nothing in flight is interrupted.
 
 use coltsfootroute::{
-    drain::{DrainPhase, DrainSettings, DrainState, StartAnswer},
+    drain::{DrainPhase, DrainSettings, DrainState, StartDecision},
     time::MonotonicTime,
 };
 use proptest::prelude::*;
@@ -82,12 +82,13 @@
         step: Step,
     ) -> Self::SystemUnderTest {
         let now = MonotonicTime::from_millis(oracle.now_ms);
-        let expected = if oracle.may_start { StartAnswer::Started } else { StartAnswer::Refused };
+        let expected =
+            if oracle.may_start { StartDecision::Started } else { StartDecision::Refused };
         match step {
             Step::Begin => _ = state.begin(now),
-            Step::Start => assert_eq!(state.started(), expected),
-            Step::Nested => assert_eq!(state.nested_started(), expected),
-            Step::Finish => state.finished(),
+            Step::Start => assert_eq!(state.try_start(), expected),
+            Step::Nested => assert_eq!(state.try_start_nested(), expected),
+            Step::Finish => state.finish(),
             Step::Wait(_) => {}
         }
         let phase = state.phase(now);
--- a/crates/coltsfootroute/tests/integration/drain/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/drain/scenarios.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use coltsfootroute::{
-    drain::{DrainSettings, DrainState, ListenerKind, StartAnswer},
+    drain::{DrainSettings, DrainState, ListenerKind, StartDecision},
     time::MonotonicTime,
 };
 use datadriven::TestCase;
@@ -19,9 +19,9 @@
         match case.directive.as_str() {
             "time" => self.now = MonotonicTime::from_millis(case.take_arg("ms").unwrap()),
             "begin" => return format!("first: {}\n", self.state.begin(self.now)),
-            "start" => return answer_text(self.state.started()),
-            "nested" => return answer_text(self.state.nested_started()),
-            "finish" => self.state.finished(),
+            "start" => return answer_text(self.state.try_start()),
+            "nested" => return answer_text(self.state.try_start_nested()),
+            "finish" => self.state.finish(),
             "status" => return self.status(),
             "idle" => return self.idle(case),
             other => panic!("unknown directive {other}"),
@@ -49,10 +49,10 @@
     }
 }
 
-fn answer_text(answer: StartAnswer) -> String {
+fn answer_text(answer: StartDecision) -> String {
     match answer {
-        StartAnswer::Started => "started\n".to_owned(),
-        StartAnswer::Refused => "refused\n".to_owned(),
+        StartDecision::Started => "started\n".to_owned(),
+        StartDecision::Refused => "refused\n".to_owned(),
     }
 }
 
