--- a/crates/coltsfootroute/src/admission.rs
+++ b/crates/coltsfootroute/src/admission.rs
@@ -1,8 +1,8 @@
-//! Admission by importance within an adaptive limit on concurrency.
+//! Admission control by importance within an adaptive concurrency limit.
 //!
-//! An [`AdmissionGate`] stands in front of one upstream and decides which calls run, wait or are
-//! refused. Its [`ShedLevel`] travels back in answers; callers gather the levels in
-//! [`ServiceLevels`] and refuse at the root what would be refused deeper down.
+//! An [`AdmissionGate`] protects one upstream and decides which calls run, wait or are refused. Its
+//! [`ShedLevel`] is returned with each response. Callers collect the levels in [`ServiceLevels`] and
+//! refuse requests at the root that would otherwise be refused deeper in the call chain.
 
 mod admission_decision;
 mod admission_gate;
--- a/crates/coltsfootroute/src/admission/admission_decision.rs
+++ b/crates/coltsfootroute/src/admission/admission_decision.rs
@@ -1,13 +1,13 @@
-//! Decision on a call.
+//! Decision of the gate on a call.
 
 use crate::outcome::RefusalReason;
 
 value_type! {
-    /// What the guard decided on a call; final for that call.
+    /// Final decision of the guard on a call.
     pub enum AdmissionDecision {
-        /// Dispatch the call now; its end is to be reported to the gate.
+        /// Dispatch the call now, and report its end to the gate.
         Run,
-        /// Answer the caller now: the call was not dispatched and never will be.
+        /// Send the refusal to the caller now: the call has not been dispatched and never will be.
         Refuse(RefusalReason),
     }
 }
--- a/crates/coltsfootroute/src/admission/admission_gate.rs
+++ b/crates/coltsfootroute/src/admission/admission_gate.rs
@@ -1,4 +1,4 @@
-//! The guard's gate in front of one upstream.
+//! Admission gate of one upstream.
 
 use std::time::Duration;
 
@@ -12,34 +12,34 @@
 };
 use crate::{importance::Importance, outcome::RefusalReason, time::MonotonicTime};
 
-/// The limit of a gate unless another is chosen.
+/// Concurrency limit of a gate for which no other is chosen.
 pub type DefaultLimit = AimdLimit;
 
 /// Decides which calls to one upstream run, wait or are refused.
 ///
-/// Every offered call gets exactly one verdict, at once or from a later method, unless it is
-/// cancelled while it waits. Each method returns the verdicts that became due, for any call. The
-/// owner carries them out, reports the end of each call that ran with [`AdmissionGate::finish`], and
-/// calls [`AdmissionGate::tick`] at [`AdmissionGate::next_wakeup`].
+/// Every offered call gets exactly one verdict, from [`AdmissionGate::offer`] or from a later method,
+/// unless it is cancelled while it waits. Each method returns all verdicts that became due, including
+/// those on other calls. The owner applies the verdicts, reports the end of each call that ran with
+/// [`AdmissionGate::finish`], and calls [`AdmissionGate::tick`] at [`AdmissionGate::next_wakeup`].
 ///
 /// Invariants: no more calls start than the limit allows, and the limit is at most the slots; a call
-/// is refused for overload only when none of lower rank waits; none starts past its deadline.
+/// is refused for overload only when no call of lower rank waits; no call starts after its deadline.
 #[derive(Clone, Debug)]
 pub struct AdmissionGate<L: ConcurrencyLimit = DefaultLimit> {
     settings: AdmissionSettings,
     limit: L,
     running: IndexMap<u64, RunningCall>,
     queue: CallQueue,
-    /// Since when the queue has not been empty.
+    /// Time since which the queue has not been empty; `None` while it is empty.
     nonempty_since: Option<MonotonicTime>,
-    /// By rank: work under way is of another kind than what clients ask for at the same importance.
+    /// By rank, because nested calls are different work from the calls of clients at the same importance.
     service_times: [ServiceTime; RANKS],
     shed: ShedControl,
     demand: DemandControl,
     draining: bool,
 }
 
-/// A call in flight to the upstream.
+/// Call in flight to the upstream.
 #[derive(Clone, Copy, Debug)]
 struct RunningCall {
     rank: usize,
@@ -54,7 +54,7 @@
 }
 
 impl<L: ConcurrencyLimit> AdmissionGate<L> {
-    /// Creates a gate with the given limit, whose ceiling becomes the usable slots of the settings.
+    /// Creates a gate with the given limit, and sets the limit's ceiling to the usable slots.
     pub fn with_limit(settings: AdmissionSettings, mut limit: L) -> Self {
         limit.set_ceiling(settings.usable_slots());
         Self {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Offers a call.
+    /// Offers a call; it starts, waits or is refused.
     pub fn offer(&mut self, now: MonotonicTime, call: WaitingCall) -> Vec<AdmissionVerdict> {
         let mut verdicts = self.advance(now);
         self.shed.on_offer();
@@ -87,7 +87,7 @@
         verdicts
     }
 
-    /// Reports the end of a call that ran; unknown calls are ignored.
+    /// Reports the end of a call that ran; an unknown `id` is ignored.
     pub fn finish(
         &mut self,
         now: MonotonicTime,
@@ -112,35 +112,36 @@
         verdicts
     }
 
-    /// Withdraws a call that waits; it gets no verdict. A call in flight keeps its slot until
-    /// [`AdmissionGate::finish`] reports that the upstream has let go of it.
+    /// Cancels a waiting call, which then gets no verdict. A call in flight keeps its slot until
+    /// [`AdmissionGate::finish`] reports that the upstream has stopped working on it.
     pub fn cancel(&mut self, now: MonotonicTime, id: u64) -> Vec<AdmissionVerdict> {
-        // First, since its time may be up at this very moment.
+        // Removed before the expiries are handled: the call may expire at `now` and would then get a verdict.
         self.queue.remove(id);
         self.advance(now)
     }
 
-    /// Refuses the waiting calls whose time is up.
+    /// Refuses the waiting calls that have expired by `now`.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<AdmissionVerdict> {
         self.advance(now)
     }
 
-    /// When [`AdmissionGate::tick`] has something to do next.
+    /// Returns the time of the next expiry, at which [`AdmissionGate::tick`] must be called; `None` while
+    /// no call waits.
     pub fn next_wakeup(&self) -> Option<MonotonicTime> {
         self.queue.next_expiry()
     }
 
-    /// Refuses every call offered from now on as leaving; calls that wait or run go on.
+    /// Starts to refuse new calls with [`RefusalReason::Leaving`]; calls that wait or run are not affected.
     pub fn drain(&mut self, _now: MonotonicTime) {
         self.draining = true;
     }
 
-    /// Whether the gate drains and holds no call any more.
+    /// Returns whether the gate drains and no call waits or runs.
     pub fn is_drained(&self) -> bool {
         self.draining && self.running.is_empty() && self.queue.is_empty()
     }
 
-    /// What the guard tells callers about the work it sheds.
+    /// Returns the shed level to send to callers.
     pub fn shed_level(&self, now: MonotonicTime) -> ShedLevel {
         match self.settings.shed_policy {
             ShedPolicy::Refusals => self.shed.level(now),
@@ -148,33 +149,33 @@
         }
     }
 
-    /// Calls in flight to the upstream.
+    /// Returns the number of calls in flight to the upstream.
     pub fn in_flight(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Calls that wait.
+    /// Returns the number of waiting calls.
     pub fn queued(&self) -> u32 {
         self.queue.len() as u32
     }
 
-    /// Calls that may be in flight now.
+    /// Returns the largest number of calls that may be in flight now.
     pub fn limit(&self) -> u32 {
         self.limit.limit()
     }
 
-    /// Most calls that may wait.
+    /// Returns the largest number of calls that may wait.
     pub fn queue_length(&self) -> u32 {
         self.settings.queue_length
     }
 
-    /// The observed median time from dispatch to answer, zero before the first answer.
-    /// For the calls that clients make themselves; what is nested below work under way has times of its own.
+    /// Returns the estimated median time from dispatch to response for calls made by clients; zero
+    /// before the first response. Nested calls are estimated separately.
     pub fn service_time(&self, now: MonotonicTime, importance: Importance) -> Duration {
         self.service_times[importance.index() * 2].estimate(now)
     }
 
-    /// Takes in a change of the upstream's slots, at least 1.
+    /// Sets the number of the upstream's slots, at least 1.
     pub fn set_slots(&mut self, now: MonotonicTime, slots: u32) -> Vec<AdmissionVerdict> {
         let mut verdicts = self.advance(now);
         self.settings.slots = slots.max(1);
@@ -183,7 +184,7 @@
         verdicts
     }
 
-    /// Brings the gate up to `now`: closes windows, gives up calls whose time is up.
+    /// Advances the gate to `now`: closes observation windows and refuses expired calls.
     fn advance(&mut self, now: MonotonicTime) -> Vec<AdmissionVerdict> {
         let mut verdicts = Vec::new();
         self.shed.advance(now, !self.has_room());
@@ -202,7 +203,7 @@
         self.in_flight() < self.limit.limit()
     }
 
-    /// Whether the call can't be expected to finish in time even if it started now.
+    /// Returns whether the call is expected to miss its deadline even if it started now.
     fn will_miss_deadline(&self, now: MonotonicTime, call: &WaitingCall) -> bool {
         now >= call.deadline || now + self.service_times[call.rank()].estimate(now) > call.deadline
     }
@@ -257,7 +258,8 @@
         self.update_nonempty_since(now);
     }
 
-    /// Evicts a waiting call in favour of `call`; `false` if all that wait go before it.
+    /// Evicts a waiting call in favour of `call`; returns `false` if every waiting call takes precedence
+    /// over it.
     fn make_room(
         &mut self,
         now: MonotonicTime,
@@ -276,8 +278,8 @@
         true
     }
 
-    /// Whether `call` goes before a waiting call of its own rank: its client has fewer waiting, or
-    /// the newest go first.
+    /// Returns whether `call` takes precedence over a waiting call of its own rank: its client has fewer
+    /// waiting calls, or the newest calls are served first.
     fn precedes_equal_rank(&self, newest_first: bool, call: &WaitingCall) -> bool {
         let lane = self.queue.lane(call.rank());
         newest_first || lane.count_of(call.client) + 1 < lane.max_calls_per_client()
@@ -285,7 +287,7 @@
 
     fn queued_call(&self, now: MonotonicTime, call: WaitingCall) -> QueuedCall {
         let settings = &self.settings;
-        // A nested call that is given up takes all the work above it along: the short wait is for what has none yet.
+        // Refusing a nested call wastes the work already done by its callers, so only other calls get the short wait.
         let is_short = self.is_overloaded(now) && !call.under_way;
         let delay = if is_short { settings.overload_queue_delay } else { settings.max_queue_delay };
         let wait_limit = now + delay;
@@ -299,8 +301,8 @@
         }
     }
 
-    /// Refuses `call`, and before it whatever waits with a lower rank: no slot came free for `call`,
-    /// so none would for those.
+    /// Refuses `call`, and before it every waiting call of a lower rank: no slot became free for `call`,
+    /// so none would have become free for them.
     fn refuse_for_overload(&mut self, call: &WaitingCall, verdicts: &mut Vec<AdmissionVerdict>) {
         while let Some(rank) = self.queue.lowest_rank().filter(|rank| *rank < call.rank()) {
             let Some(evicted) = self.queue.evict(rank, true) else { break };
--- a/crates/coltsfootroute/src/admission/admission_verdict.rs
+++ b/crates/coltsfootroute/src/admission/admission_verdict.rs
@@ -1,13 +1,13 @@
-//! Decision together with the call it concerns.
+//! Decision on a call, with the call's identifier.
 
 use super::AdmissionDecision;
 
 value_type! {
-    /// A decision on one call, which may be any call that was offered earlier and has waited.
+    /// Decision on one call: the call just offered or any call that was offered earlier and has waited.
     pub struct AdmissionVerdict {
-        /// The call, as numbered in its [`WaitingCall`](super::WaitingCall).
+        /// Identifier of the call in its [`WaitingCall`](super::WaitingCall).
         pub id: u64,
-        /// What to do with it.
+        /// The decision.
         pub decision: AdmissionDecision,
     }
 }
--- a/crates/coltsfootroute/src/admission/breach_counter.rs
+++ b/crates/coltsfootroute/src/admission/breach_counter.rs
@@ -1,4 +1,4 @@
-//! Count of breaches of the order of importance.
+//! Counter of refusals that violate the order of importance.
 
 use std::time::Duration;
 
@@ -6,19 +6,20 @@
 
 use crate::{importance::Importance, name::ServiceName, time::MonotonicTime};
 
-/// Default window.
+/// Default length of the window.
 const WINDOW: Duration = Duration::from_millis(50);
 
-/// Counts refusals that came out of order, as one observer (a guard or a caller) knows it.
+/// Counter of refusals that violate the order of importance, as seen by one observer (a guard or a
+/// caller).
 ///
 /// A breach is a refusal for overload of work of importance *i* for service *S* at time *t*, where
-/// the observer itself admitted work for *S* of lower importance, or learned of its admission, in
-/// the window before *t*. Admissions in the same instant as the refusal count. The count is an upper
-/// bound: a surge that fills the upstream within one window is counted too.
+/// the observer admitted work for *S* of lower importance, or was notified of its admission, in the
+/// window before *t*. Admissions at the same time as the refusal count. The count is an upper bound:
+/// a surge that fills the upstream within one window is counted too.
 #[derive(Clone, Debug)]
 pub struct BreachCounter {
     window: Duration,
-    /// Last admission, by importance.
+    /// Time of the last admission, by importance.
     admissions: IndexMap<ServiceName, [Option<MonotonicTime>; Importance::COUNT]>,
     breaches: u64,
 }
@@ -35,12 +36,12 @@
         Self { window: WINDOW, admissions: IndexMap::new(), breaches: 0 }
     }
 
-    /// Sets the window.
+    /// Sets the length of the window.
     pub fn with_window(self, window: Duration) -> Self {
         Self { window, ..self }
     }
 
-    /// Notes that work of `importance` was admitted for `service`.
+    /// Records that work of `importance` was admitted for `service`.
     pub fn on_admission(
         &mut self,
         now: MonotonicTime,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Notes that work of `importance` was refused for overload; returns whether that is a breach.
+    /// Records that work of `importance` was refused for overload; returns whether that is a breach.
     pub fn on_refusal(
         &mut self,
         now: MonotonicTime,
@@ -67,7 +68,8 @@
         is_breach
     }
 
-    /// The least importance below `importance` that was admitted for `service` within the window.
+    /// Returns the lowest importance below `importance` that was admitted for `service` within the window;
+    /// `None` if there was no such admission.
     pub fn admitted_below(
         &self,
         now: MonotonicTime,
@@ -81,7 +83,7 @@
         Importance::from_index(index)
     }
 
-    /// Breaches counted so far.
+    /// Returns the number of breaches since the counter was created.
     pub fn breaches(&self) -> u64 {
         self.breaches
     }
--- a/crates/coltsfootroute/src/admission/call_finish.rs
+++ b/crates/coltsfootroute/src/admission/call_finish.rs
@@ -1,17 +1,17 @@
-//! How a call that ran has ended.
+//! Result of a call that ran.
 
 value_type! {
-    /// The end of a call that was dispatched to the upstream.
+    /// Result of a call that was dispatched to the upstream.
     pub enum CallFinish {
-        /// The upstream answered in full.
+        /// The upstream sent a complete response.
         Succeeded,
         /// The upstream failed or its connection broke.
         Failed,
-        /// The upstream refused the call because of its own load.
+        /// The upstream rejected the call because it is overloaded.
         ShedByUpstream,
-        /// The deadline passed before the answer came.
+        /// The deadline passed before the response arrived.
         TimedOut,
-        /// The caller gave the call up and the upstream has let go of it.
+        /// The caller cancelled the call and the upstream has stopped working on it.
         Cancelled,
     }
 }
--- a/crates/coltsfootroute/src/admission/client_lane.rs
+++ b/crates/coltsfootroute/src/admission/client_lane.rs
@@ -1,12 +1,12 @@
-//! Waiting calls of one rank, shared out between clients.
+//! Fair queue of the waiting calls of one rank.
 
 use std::collections::VecDeque;
 
 use indexmap::IndexMap;
 
-/// The waiting calls of one rank, by client.
+/// Waiting calls of one rank, by client; clients are served in turn.
 ///
-/// Invariants: `turns` names each client of `calls` exactly once; no client has an empty list; each
+/// Invariants: `turns` contains each client of `calls` exactly once; no client has an empty list; each
 /// list is ordered oldest first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClientLane {
@@ -15,7 +15,7 @@
 }
 
 impl ClientLane {
-    /// Adds the newest call of `client`.
+    /// Adds a call of `client` as its newest.
     pub fn push(&mut self, client: u64, id: u64) {
         let calls = self.calls.entry(client).or_default();
         if calls.is_empty() {
@@ -24,7 +24,8 @@
         calls.push_back(id);
     }
 
-    /// Takes a call of the client whose turn it is; `newest` picks its newest instead of its oldest.
+    /// Removes and returns the oldest call of the next client in turn, or its newest if `newest` is set.
+    /// `None` if no call waits.
     pub fn pop(&mut self, newest: bool) -> Option<u64> {
         let client = self.turns.pop_front()?;
         let id = self.pop_from(client, newest)?;
@@ -34,23 +35,24 @@
         Some(id)
     }
 
-    /// Picks the call to give up: of the client with the most calls, its oldest or its newest.
+    /// Returns the call to evict: the oldest or the newest call of the client with the most waiting calls.
+    /// `None` if no call waits.
     pub fn eviction_candidate(&self, oldest: bool) -> Option<u64> {
         let calls = self.calls.values().max_by_key(|calls| calls.len())?;
         if oldest { calls.front().copied() } else { calls.back().copied() }
     }
 
-    /// The most calls that one client has waiting.
+    /// Returns the largest number of waiting calls of any client.
     pub fn max_calls_per_client(&self) -> usize {
         self.calls.values().map(VecDeque::len).max().unwrap_or(0)
     }
 
-    /// Calls that `client` has waiting.
+    /// Returns the number of waiting calls of `client`.
     pub fn count_of(&self, client: u64) -> usize {
         self.calls.get(&client).map_or(0, VecDeque::len)
     }
 
-    /// Removes one call.
+    /// Removes the call `id` of `client`, if it waits.
     pub fn remove(&mut self, client: u64, id: u64) {
         let Some(calls) = self.calls.get_mut(&client) else { return };
         calls.retain(|other| *other != id);
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Whether no call waits.
+    /// Returns whether no call is waiting.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
--- a/crates/coltsfootroute/src/admission/concurrency_limit.rs
+++ b/crates/coltsfootroute/src/admission/concurrency_limit.rs
@@ -1,16 +1,16 @@
-//! Limit on the calls in flight to one upstream.
+//! Interface of limits on the calls in flight to one upstream.
 
 use super::FinishSample;
 use crate::time::MonotonicTime;
 
-/// A limit on concurrency that adapts to how calls end.
+/// Concurrency limit that adapts to the results of calls.
 pub trait ConcurrencyLimit {
-    /// Calls that may be in flight now; at least 1 and at most the ceiling.
+    /// Returns the largest number of calls that may be in flight now, between 1 and the ceiling.
     fn limit(&self) -> u32;
 
-    /// Takes in the end of a call.
+    /// Updates the limit after the end of a call.
     fn on_finish(&mut self, now: MonotonicTime, sample: &FinishSample);
 
-    /// Sets the ceiling: the slots that the upstream declares, at least 1.
+    /// Sets the ceiling to the number of slots that the upstream declares, at least 1.
     fn set_ceiling(&mut self, slots: u32);
 }
--- a/crates/coltsfootroute/src/admission/demand_control.rs
+++ b/crates/coltsfootroute/src/admission/demand_control.rs
@@ -1,44 +1,46 @@
-//! A guard's shed level by demand and capacity.
+//! Controller of a guard's shed level, driven by demand and capacity.
 
 use std::time::Duration;
 
 use super::{ShedLevel, waiting_call::RANKS};
 use crate::{importance::Importance, time::MonotonicTime};
 
-/// Length of one window of observation.
+/// Length of one observation window.
 const WINDOW: Duration = Duration::from_millis(100);
-/// Weight of the newest window in the averages: half of a change shows after some 0.4 s.
+/// Weight of the latest window in the averages, which follow half of a change after about 0.4 s.
 const WINDOW_WEIGHT: f64 = 0.15;
-/// Weight of one call in the mean service time.
+/// Weight of the latest call in the mean service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
-/// Share of the usable slots that is given out: above it queues grow without bound.
+/// Share of the usable slots up to which demand is admitted; above it queues grow without bound.
 const TARGET_UTILIZATION: f64 = 0.97;
-/// Least admitted share by which demand is made up for: below it what arrives says little of what is wanted.
+/// Lowest admitted share by which the measured load is divided. Below it too few calls arrive to estimate the demand.
 const MIN_ADMITTED_SHARE: f64 = 0.05;
-/// Most windows without a call that are worked through one by one; after these nothing is demanded.
+/// Largest number of ended windows that are averaged one by one; after more windows without a call the demand is
+/// negligible.
 const MAX_REPLAYED_WINDOWS: u64 = 50;
 
-/// Turns what callers want done into a [`ShedLevel`].
+/// Derives a [`ShedLevel`] from the demand of the callers and the capacity.
 ///
-/// The demand of each importance is its rate of calls times their mean service time, in slots, divided by
-/// the share of requests that the level has let through at the root. The level admits importances from the
-/// top while their demand fits the slots, the share of the next that still fits, and nothing below.
+/// The demand of each importance, in slots, is its call rate times the mean service time, divided by the
+/// share of requests that the level admits at the root. The level admits all work of the highest
+/// importances whose demand fits into the slots, the share of the next importance that still fits, and
+/// nothing below.
 #[derive(Clone, Debug)]
 pub(super) struct DemandControl {
     window_start: MonotonicTime,
     /// Calls offered in the current window.
     offered: [u32; RANKS],
-    /// Calls offered in a window, on average.
+    /// Average number of calls offered in a window.
     rates: [f64; RANKS],
-    /// Mean service time in seconds; 0 before the first call.
+    /// Mean service time of each rank in seconds; 0 before the first call.
     service_times: [f64; RANKS],
-    /// Share of each importance that the level let through, averaged like the rates.
+    /// Share of each importance that the level admitted, averaged like the rates.
     admitted_shares: [f64; Importance::COUNT],
     level: ShedLevel,
 }
 
 impl DemandControl {
-    /// A controller that has seen nothing and sheds nothing.
+    /// Creates a controller without observations and with an open level.
     pub fn new() -> Self {
         Self {
             window_start: MonotonicTime::ZERO,
@@ -55,14 +57,14 @@
         self.offered[rank] += 1;
     }
 
-    /// Takes in the service time of a call that ended.
+    /// Records the service time of a finished call.
     pub fn on_finish(&mut self, rank: usize, service_time: Duration) {
         let sample = service_time.as_secs_f64();
         let time = &mut self.service_times[rank];
         *time = if *time == 0.0 { sample } else { *time + SERVICE_TIME_WEIGHT * (sample - *time) };
     }
 
-    /// Closes the windows that have ended by `now`, at a capacity of `limit` calls at a time.
+    /// Closes the windows that have ended by `now`; `limit` is the capacity in concurrent calls.
     pub fn advance(&mut self, now: MonotonicTime, limit: u32) {
         let elapsed = now.since(self.window_start).as_micros() / WINDOW.as_micros();
         let windows = u64::try_from(elapsed).unwrap_or(u64::MAX);
@@ -77,7 +79,7 @@
         self.level = self.level_for(f64::from(limit) * TARGET_UTILIZATION);
     }
 
-    /// The level in force.
+    /// Returns the current level.
     pub fn level(&self) -> ShedLevel {
         self.level
     }
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Slots that the calls of one importance would use, had all been let through.
+    /// Returns the number of slots that the calls of one importance would use if all were admitted.
     fn demand(&self, importance: Importance) -> f64 {
         let ranks = importance.index() * 2..importance.index() * 2 + 2;
         let used: f64 = ranks.map(|rank| self.rates[rank] * self.service_times[rank]).sum();
--- a/crates/coltsfootroute/src/admission/finish_sample.rs
+++ b/crates/coltsfootroute/src/admission/finish_sample.rs
@@ -1,17 +1,17 @@
-//! What a concurrency limit learns from the end of a call.
+//! Measurements of a finished call, as input to a concurrency limit.
 
 use std::time::Duration;
 
 use super::CallFinish;
 
 value_type! {
-    /// One finished call as a concurrency limit sees it.
+    /// Result, duration and concurrency of one finished call.
     pub struct FinishSample {
-        /// How the call ended.
+        /// Result of the call.
         pub finish: CallFinish,
-        /// Time from dispatch to end, without the wait in the guard's queue.
+        /// Time from dispatch to the end of the call, without the wait in the guard's queue.
         pub service_time: Duration,
-        /// Calls in flight just before the end, this one included.
+        /// Calls in flight just before this one ended, including this one.
         pub in_flight: u32,
     }
 }
--- a/crates/coltsfootroute/src/admission/limit/aimd_limit.rs
+++ b/crates/coltsfootroute/src/admission/limit/aimd_limit.rs
@@ -1,4 +1,4 @@
-//! Additive increase, multiplicative decrease.
+//! Limit with additive increase and multiplicative decrease (AIMD).
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
     time::MonotonicTime,
 };
 
-/// Factor of one decrease.
+/// Factor applied to the limit in one decrease.
 const DECREASE_FACTOR: f64 = 0.8;
-/// Least time between two decreases: the calls of one burst of refusals count once.
+/// Shortest time between two decreases, so that one burst of rejections counts once.
 const MIN_DECREASE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time in which the limit grows from zero to the ceiling at full speed.
+/// Time in which the limit grows from zero to the ceiling at the full growth rate.
 const FULL_GROWTH_TIME: Duration = Duration::from_secs(1);
-/// Time after a decrease until growth is at full speed.
+/// Time after a decrease until the growth rate is back at its full value.
 const RAMP_TIME: Duration = Duration::from_millis(500);
-/// Longest time that the growth of one step stands for, so that a single success after a long
-/// silence doesn't open the limit at once.
+/// Longest time that one growth step accounts for, so that a single success after a long idle time
+/// doesn't raise the limit to the ceiling.
 const MAX_GROWTH_STEP: Duration = Duration::from_millis(500);
 
-/// Lowers the limit when the upstream sheds and grows it again while calls succeed.
+/// Limit that decreases when the upstream sheds load and grows while calls succeed.
 ///
-/// Latency plays no part: a service that is slow for other reasons than our load keeps its slots.
-/// Growth starts slowly after a decrease, so that the limit dwells near the upstream's capacity, and
-/// reaches the ceiling within about 1.3 s once the upstream has stopped shedding.
+/// Latency is ignored, so a service that is slow for reasons other than this load keeps its slots.
+/// Growth starts slowly after a decrease, which keeps the limit near the upstream's capacity for
+/// longer, and reaches the ceiling within about 1.3 s after the upstream has stopped shedding.
 #[derive(Clone, Debug)]
 pub struct AimdLimit {
     ceiling: u32,
@@ -33,7 +33,7 @@
     last_decrease: Option<MonotonicTime>,
     last_growth: MonotonicTime,
     decreases_on_timeout: bool,
-    /// Share of the ceiling below which a rejection says nothing of the upstream's room.
+    /// Smallest share of the ceiling that must be in flight for a rejection to lower the limit.
     min_decrease_share: f64,
 }
 
@@ -51,13 +51,14 @@
         }
     }
 
-    /// Also lowers the limit when a call times out.
+    /// Sets whether the limit also decreases when a call times out.
     pub fn with_timeouts(self, decreases_on_timeout: bool) -> Self {
         Self { decreases_on_timeout, ..self }
     }
 
-    /// Takes rejections while fewer calls than `share` of the ceiling are in flight, between 0 and 1, for a
-    /// fault of the upstream: fewer calls would not make it reject less.
+    /// Sets the share of the ceiling, between 0 and 1, that must be in flight for a rejection to lower the
+    /// limit. Rejections with fewer calls in flight are attributed to a fault of the upstream, which
+    /// would reject as many calls at a lower limit.
     pub fn with_min_decrease_share(self, share: f64) -> Self {
         Self { min_decrease_share: share, ..self }
     }
--- a/crates/coltsfootroute/src/admission/limit/delay_limit.rs
+++ b/crates/coltsfootroute/src/admission/limit/delay_limit.rs
@@ -1,4 +1,4 @@
-//! Target on queueing delay inside the upstream.
+//! Limit with a target for the queueing delay inside the upstream.
 
 use std::time::Duration;
 
@@ -8,18 +8,19 @@
     time::MonotonicTime,
 };
 
-/// Length of one interval, over which only the least delay counts: bursts are no standing queue.
+/// Length of one interval. Only its shortest service time counts, since a burst is not a standing queue.
 const INTERVAL: Duration = Duration::from_millis(100);
-/// Time after which the base service time is measured afresh.
+/// Age at which the base service time is replaced by a new measurement.
 const MAX_BASE_AGE: Duration = Duration::from_secs(10);
-/// Standing delay allowed, as a multiple of the base service time.
+/// Allowed queueing delay, as a multiple of the base service time.
 const TARGET_DELAY_FACTOR: f64 = 1.0;
-/// Factor of one decrease.
+/// Factor applied to the limit in one decrease.
 const DECREASE_FACTOR: f64 = 0.8;
-/// Growth in one interval, as a share of the ceiling.
+/// Increase of the limit in one interval, as a share of the ceiling.
 const GROWTH_SHARE: f64 = 0.1;
 
-/// Lowers the limit while the least service time of an interval exceeds the base by the target.
+/// Limit that decreases while the shortest service time of an interval exceeds the base by more than
+/// the target delay.
 #[derive(Clone, Debug)]
 pub struct DelayLimit {
     ceiling: u32,
--- a/crates/coltsfootroute/src/admission/limit/fixed_limit.rs
+++ b/crates/coltsfootroute/src/admission/limit/fixed_limit.rs
@@ -1,4 +1,4 @@
-//! Limit that doesn't adapt.
+//! Constant limit.
 
 use crate::{
     admission::{ConcurrencyLimit, FinishSample},
@@ -6,7 +6,7 @@
 };
 
 value_type! {
-    /// Always the slots that the upstream declares.
+    /// Limit that always equals the number of slots that the upstream declares.
     pub struct FixedLimit {
         slots: u32,
     }
--- a/crates/coltsfootroute/src/admission/limit/gradient_limit.rs
+++ b/crates/coltsfootroute/src/admission/limit/gradient_limit.rs
@@ -1,4 +1,4 @@
-//! Gradient of latency.
+//! Limit that follows the gradient of latency.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 const SHORT_WEIGHT: f64 = 0.05;
 /// Weight of a sample in the long average.
 const LONG_WEIGHT: f64 = 0.002;
-/// Latency may exceed the long average by this factor before the limit falls.
+/// Factor by which the short average may exceed the long average before the limit decreases.
 const TOLERANCE_FACTOR: f64 = 1.5;
-/// Lowest gradient of one step.
+/// Lowest gradient used in one step.
 const MIN_GRADIENT: f64 = 0.5;
-/// Weight of a step in the limit.
+/// Weight of the target in the new limit, for smoothing.
 const STEP_WEIGHT: f64 = 0.2;
-/// Time between two steps.
+/// Shortest time between two steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Follows the ratio of the usual latency to the latency of late.
+/// Limit that follows the ratio of the long-term average latency to the recent latency.
 #[derive(Clone, Debug)]
 pub struct GradientLimit {
     ceiling: u32,
@@ -53,7 +53,7 @@
         }
         self.short_micros += (sample - self.short_micros) * SHORT_WEIGHT;
         self.long_micros += (sample - self.long_micros) * LONG_WEIGHT;
-        // A long average far above the present latency is left over from a slow phase.
+        // A long average far above the recent latency stems from an earlier slow phase, so it is capped.
         self.long_micros = self.long_micros.min(self.short_micros * 2.0);
     }
 
--- a/crates/coltsfootroute/src/admission/queue_order.rs
+++ b/crates/coltsfootroute/src/admission/queue_order.rs
@@ -1,14 +1,14 @@
-//! Order of service within one importance.
+//! Service order among waiting calls of one client.
 
 value_type! {
-    /// Which waiting call of one client goes first within one importance.
+    /// Order in which the waiting calls of one client are served within one importance.
     #[derive(Default)]
     pub enum QueueOrder {
-        /// The oldest.
+        /// Serves the oldest call first.
         #[default]
         OldestFirst,
-        /// The oldest, but the newest while a queue has stood for the overload interval: then the
-        /// oldest are the least likely to finish in time.
+        /// Serves the oldest call first, but the newest once the queue has been non-empty for the overload
+        /// interval: under overload the oldest calls are the least likely to finish in time.
         NewestFirstUnderOverload,
     }
 }
--- a/crates/coltsfootroute/src/admission/queued_call.rs
+++ b/crates/coltsfootroute/src/admission/queued_call.rs
@@ -1,16 +1,16 @@
-//! A call in the queue.
+//! Entry of the queue of waiting calls.
 
 use super::WaitingCall;
 use crate::{outcome::RefusalReason, time::MonotonicTime};
 
 value_type! {
-    /// A call that waits for a slot.
+    /// Call that waits for a slot.
     pub(super) struct QueuedCall {
-        /// The call.
+        /// The waiting call.
         pub call: WaitingCall,
-        /// When it is given up, unless started before.
+        /// Time at which the call is refused unless it has started.
         pub expiry: MonotonicTime,
-        /// The reason it is refused for at `expiry`.
+        /// Reason for the refusal at `expiry`.
         pub expiry_reason: RefusalReason,
     }
 }
--- a/crates/coltsfootroute/src/admission/reached_services.rs
+++ b/crates/coltsfootroute/src/admission/reached_services.rs
@@ -1,4 +1,4 @@
-//! Which services the calls of an operation reach, learnt from the answers.
+//! Services reached by the calls of each operation, as observed from responses.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,15 +9,15 @@
     time::MonotonicTime,
 };
 
-/// A service not reached for so long is forgotten: a new release may call others.
+/// Time after which a service that is no longer reached is removed, since a new release may call other services.
 const SERVICE_RETENTION: Duration = Duration::from_secs(60);
-/// Operations remembered at most.
+/// Largest number of operations that are stored.
 const MAX_OPERATIONS: usize = 4_096;
 
-/// Which services the calls of an operation reach at any depth, learnt from the levels that come back with
-/// answers; for a configuration that does not declare the call graph.
+/// Services that the calls of an operation reach at any depth, observed from the shed levels in responses; used
+/// where the configuration does not declare the call graph.
 ///
-/// Invariant: an operation's own service is always among those it reaches.
+/// Invariant: the services reached by an operation always include its own service.
 #[derive(Clone, Debug, Default)]
 pub struct ReachedServices {
     operations: IndexMap<ServiceName, IndexMap<OperationName, OperationEntry>>,
@@ -26,19 +26,19 @@
 
 #[derive(Clone, Debug)]
 struct OperationEntry {
-    /// When each service was reached last.
+    /// Time at which each service was last reached.
     last_reached: IndexMap<ServiceName, MonotonicTime>,
-    /// The same services, to be shared.
+    /// The same services as a shared slice.
     services: Arc<[ServiceName]>,
 }
 
 impl ReachedServices {
-    /// Nothing is known yet.
+    /// Creates an empty set of operations.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An answer to a call of the operation has brought word from `services`.
+    /// Records that a response to a call of the operation carried the levels of `services`.
     pub fn observe<'a>(
         &mut self,
         now: MonotonicTime,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The services that calls of the operation reach; `None` before the first answer.
+    /// Returns the services that calls of the operation reach; `None` before the first response.
     pub fn of(
         &self,
         service: &ServiceName,
--- a/crates/coltsfootroute/src/admission/root_gate.rs
+++ b/crates/coltsfootroute/src/admission/root_gate.rs
@@ -1,15 +1,16 @@
-//! What a node refuses where client requests enter.
+//! Admission control where client requests enter.
 
 use rand::Rng;
 
 use super::{BreachCounter, ServiceLevels, ShedRefusal};
 use crate::{importance::Importance, name::ServiceName, time::MonotonicTime};
 
-/// What a node refuses where client requests enter: work that would be refused deeper down.
+/// Admission control where client requests enter a node: refuses work that would be refused deeper in
+/// the call chain.
 ///
 /// Invariant: no work of a service is refused here within the breach window after less important work
-/// of that service was admitted here. While a level rises, the more important work of that moment goes
-/// on to the guards, which know best.
+/// of that service was admitted here. While a level rises, more important work is therefore forwarded
+/// to the guards, which have current information.
 #[derive(Clone, Debug, Default)]
 pub struct RootGate {
     levels: ServiceLevels,
@@ -17,17 +18,17 @@
 }
 
 impl RootGate {
-    /// A gate that has heard of no level and refuses nothing.
+    /// Creates a gate without known levels, which refuses nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Levels of the services, as heard in answers.
+    /// Returns the shed levels received with responses.
     pub fn levels(&self) -> &ServiceLevels {
         &self.levels
     }
 
-    /// The same, to take in a level.
+    /// Returns the shed levels for recording another level.
     pub fn levels_mut(&mut self) -> &mut ServiceLevels {
         &mut self.levels
     }
@@ -36,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// [`ShedRefusal`] names the service that sheds work of this importance most.
+    /// [`ShedRefusal`] with the service that has the highest shed level.
     pub fn admit(
         &mut self,
         now: MonotonicTime,
--- a/crates/coltsfootroute/src/admission/service_level.rs
+++ b/crates/coltsfootroute/src/admission/service_level.rs
@@ -1,4 +1,4 @@
-//! Shed levels of one service as a caller knows them.
+//! Shed levels of one service, as known to a caller.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use super::{ShedLevel, level_average::LevelAverage};
 use crate::{id::NodeId, time::MonotonicTime};
 
-/// Silence after which a guard is forgotten.
+/// Time without a response after which a guard is removed.
 const GUARD_RETENTION: Duration = Duration::from_secs(10);
 
-/// What a caller has heard of one service: over all its guards, and of each.
+/// Shed levels received from the guards of one service, in total and for each guard.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceLevel {
     overall: LevelAverage,
@@ -18,30 +18,30 @@
 }
 
 impl ServiceLevel {
-    /// Starts with the first answer.
+    /// Creates the levels from the first response.
     pub fn new(now: MonotonicTime, guard: NodeId, level: ShedLevel) -> Self {
         let average = LevelAverage::new(now, level);
         Self { overall: average, guards: IndexMap::from([(guard, average)]) }
     }
 
-    /// Takes in the level of a further answer.
+    /// Adds the level of another response.
     pub fn observe(&mut self, now: MonotonicTime, guard: NodeId, level: ShedLevel) {
         self.overall.observe(now, level);
         if let Some(known) = self.guards.get_mut(&guard) {
             known.observe(now, level);
             return;
         }
-        // A new guard is rare, which makes it the time to forget those long silent.
+        // New guards are rare, so this is a cheap moment to remove those that have not responded for long.
         self.guards.retain(|_, known| known.age(now) < GUARD_RETENTION);
         self.guards.insert(guard, LevelAverage::new(now, level));
     }
 
-    /// The level over all guards.
+    /// Returns the level over all guards.
     pub fn overall(&self, now: MonotonicTime) -> ShedLevel {
         self.overall.level(now)
     }
 
-    /// The level of one guard; open if it has not been heard of.
+    /// Returns the level of one guard; [`ShedLevel::OPEN`] if the guard is unknown.
     pub fn guard_level(&self, now: MonotonicTime, guard: NodeId) -> ShedLevel {
         self.guards.get(&guard).map_or(ShedLevel::OPEN, |known| known.level(now))
     }
--- a/crates/coltsfootroute/src/admission/service_levels.rs
+++ b/crates/coltsfootroute/src/admission/service_levels.rs
@@ -1,4 +1,4 @@
-//! Shed levels of services as a caller knows them.
+//! Shed levels of services, as known to a caller.
 
 use indexmap::IndexMap;
 use rand::{Rng, RngExt};
@@ -6,24 +6,24 @@
 use super::{RetryAfter, ShedLevel, ShedRefusal, service_level::ServiceLevel};
 use crate::{id::NodeId, importance::Importance, name::ServiceName, time::MonotonicTime};
 
-/// The shed levels that came back in answers, by service and guard.
+/// Shed levels received with responses, by service and guard.
 ///
-/// The level of a service is the mean over its latest answers: each guard counts by the share of the
-/// calls that go to it, so the level is the one that a call routed now is expected to meet. Without
-/// fresh news a level decays within about a second; the work that this lets through brings the next
-/// news.
+/// The level of a service is the mean over its recent responses. Each guard is weighted by its share
+/// of the calls, so the mean is the expected level for a call that is routed now. Without new
+/// responses a level decays within about a second; the calls that are then admitted return current
+/// levels.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLevels {
     services: IndexMap<ServiceName, ServiceLevel>,
 }
 
 impl ServiceLevels {
-    /// Creates an empty set: every service counts as open.
+    /// Creates an empty set, in which every service counts as open.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in the level that came back in an answer from `guard`.
+    /// Records the level returned with a response from `guard`.
     pub fn observe(
         &mut self,
         now: MonotonicTime,
@@ -39,12 +39,13 @@
         }
     }
 
-    /// The level of `service` at `now`.
+    /// Returns the level of `service` at `now`; [`ShedLevel::OPEN`] if the service is unknown.
     pub fn level(&self, now: MonotonicTime, service: &ServiceName) -> ShedLevel {
         self.services.get(service).map_or(ShedLevel::OPEN, |known| known.overall(now))
     }
 
-    /// The level of one guard of `service` at `now`, for the choice between guards.
+    /// Returns the level of one guard of `service` at `now`, for choosing between guards;
+    /// [`ShedLevel::OPEN`] if the guard is unknown.
     pub fn guard_level(
         &self,
         now: MonotonicTime,
@@ -54,12 +55,12 @@
         self.services.get(service).map_or(ShedLevel::OPEN, |known| known.guard_level(now, guard))
     }
 
-    /// Decides on a request that can reach `services`: admitted, or refused on behalf of the service
-    /// that sheds most.
+    /// Admits a request that can reach `services`, or refuses it on behalf of the service with the
+    /// highest shed level.
     ///
     /// # Errors
     ///
-    /// [`ShedRefusal`] if the request is refused; no part of it may run then.
+    /// [`ShedRefusal`] if the request is refused; no part of it may run.
     pub fn admit(
         &self,
         now: MonotonicTime,
--- a/crates/coltsfootroute/src/admission/service_time.rs
+++ b/crates/coltsfootroute/src/admission/service_time.rs
@@ -4,16 +4,17 @@
 
 use crate::time::MonotonicTime;
 
-/// Step of the estimate for one sample, relative to the estimate.
+/// Largest change of the estimate for one sample, as a share of the estimate.
 const STEP_RATIO: f64 = 0.1;
-/// Without a sample for this long, and for twice the estimate, the estimate starts to halve.
+/// Shortest halving interval; for long service times it is twice the estimate. After one interval without a sample the
+/// estimate starts to halve once per interval.
 const MIN_HALVING_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Running estimate of the median service time.
 ///
-/// Moves by a fixed ratio towards each sample, which settles where half of the samples lie on
-/// either side, and halves again and again while no samples come: an estimate that refuses every
-/// call would otherwise never be corrected.
+/// The estimate moves towards each sample by a fixed ratio, so it converges to the value with half of
+/// the samples on either side. It halves repeatedly while no samples arrive: an estimate so high that
+/// every call is refused would otherwise never be corrected.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ServiceTime {
     median_micros: f64,
@@ -21,7 +22,7 @@
 }
 
 impl ServiceTime {
-    /// Takes in the service time of a finished call.
+    /// Records the service time of a finished call.
     pub fn record(&mut self, now: MonotonicTime, service_time: Duration) {
         let sample = service_time.as_micros() as f64;
         let median = self.estimate_micros(now);
@@ -35,15 +36,15 @@
         self.last_sample = Some(now);
     }
 
-    /// Takes in a call that was given up without an answer: its service time is longer than
-    /// `elapsed`, which tells something only if that is longer than the estimate.
+    /// Records a call that ended without a response. Its service time is longer than `elapsed`, so the
+    /// sample is used only if `elapsed` exceeds the estimate.
     pub fn record_unfinished(&mut self, now: MonotonicTime, elapsed: Duration) {
         if elapsed > self.estimate(now) {
             self.record(now, elapsed);
         }
     }
 
-    /// The estimate; zero before the first sample.
+    /// Returns the estimate at `now`; zero before the first sample.
     pub fn estimate(&self, now: MonotonicTime) -> Duration {
         Duration::from_micros(self.estimate_micros(now) as u64)
     }
--- a/crates/coltsfootroute/src/admission/shed_control.rs
+++ b/crates/coltsfootroute/src/admission/shed_control.rs
@@ -1,30 +1,30 @@
-//! Controller of a guard's shed level.
+//! Controller of a guard's shed level, driven by refusals.
 
 use std::time::Duration;
 
 use super::ShedLevel;
 use crate::{importance::Importance, time::MonotonicTime};
 
-/// Length of one window of observation.
+/// Length of one observation window.
 const WINDOW: Duration = Duration::from_millis(50);
-/// Rise in a window for each call refused beyond the target, over the calls offered, in levels.
+/// Increase in a window, in levels, per unit of the share of refused calls above the target.
 const RISE_FACTOR: f64 = 0.5;
-/// Share of refusals at the guard that the level settles at: it keeps the queue filled.
+/// Share of refused calls at which the level settles. Some refusals at the guard keep the queue filled.
 const TARGET_REFUSED_SHARE: f64 = 0.10;
-/// Fall in a window without refusals while the upstream is busy, in levels.
+/// Decrease in a window without refusals while all slots are in use, in levels.
 const BUSY_DECREASE: f64 = 0.02;
-/// Factor of the fall in a window without refusals while the upstream has room.
+/// Factor applied to the level in a window without refusals while the upstream has free slots.
 const IDLE_DECAY_FACTOR: f64 = 0.8;
-/// The constant part of that fall, in levels.
+/// Constant decrease in such a window, in levels, in addition to the factor.
 const IDLE_DECREASE: f64 = 0.02;
-/// Most windows without any event that are worked through one by one; after these the level is open.
+/// Largest number of ended windows that are evaluated one by one; after more than that the level is open.
 const MAX_REPLAYED_WINDOWS: u64 = 100;
 
-/// Turns refusals into a [`ShedLevel`].
+/// Derives a [`ShedLevel`] from the share of refused calls.
 ///
-/// The level rises with the share of calls refused beyond a target, but never past the most important
-/// level that was refused, so it doesn't wind up while callers lag behind. It falls slowly while the upstream
-/// is still busy, which keeps it near the border, and quickly once the upstream has room.
+/// The level rises in proportion to the share of refused calls above a target, but never beyond the highest
+/// importance that was refused. This prevents integral windup while callers still use an older level. The level falls
+/// slowly while all slots are in use, which keeps it near the border, and quickly once slots are free.
 #[derive(Clone, Debug)]
 pub(super) struct ShedControl {
     levels: f64,
@@ -36,7 +36,7 @@
 }
 
 impl ShedControl {
-    /// Creates a controller that sheds nothing.
+    /// Creates a controller with an open level.
     pub fn new() -> Self {
         Self {
             levels: 0.0,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Closes the windows that have ended by `now`; `busy` tells whether all slots are in use.
+    /// Closes the windows that have ended by `now`; `busy` is whether all slots are in use.
     pub fn advance(&mut self, now: MonotonicTime, busy: bool) {
         self.busy |= busy;
         let windows = windows_between(self.window_start, now);
@@ -74,13 +74,13 @@
         self.highest_refused = self.highest_refused.max(Some(importance));
     }
 
-    /// The level at `now`.
+    /// Returns the level at `now`.
     pub fn level(&self, now: MonotonicTime) -> ShedLevel {
         let windows = windows_between(self.window_start, now);
         ShedLevel::from_levels(self.levels_after_windows(windows))
     }
 
-    /// The level after the current window and `windows` − 1 empty ones.
+    /// Returns the level after the current window and `windows` − 1 empty windows.
     fn levels_after_windows(&self, windows: u64) -> f64 {
         if windows == 0 {
             return self.levels;
--- a/crates/coltsfootroute/src/admission/shed_policy.rs
+++ b/crates/coltsfootroute/src/admission/shed_policy.rs
@@ -1,15 +1,16 @@
-//! What a guard's shed level follows.
+//! Signal that determines a guard's shed level.
 
 value_type! {
-    /// What a guard's shed level follows.
+    /// Signal that determines a guard's shed level.
     #[derive(Default)]
     pub enum ShedPolicy {
-        /// The share of calls that the gate has to refuse. Suits calls that are cheap to refuse: some are
-        /// always refused at the guard.
+        /// Share of calls that the gate refuses. Suits calls that are cheap to refuse, since under
+        /// overload some calls are always refused at the guard.
         #[default]
         Refusals,
-        /// The work that callers want done against the slots. Suits calls nested below work under way,
-        /// which a refusal at the guard wastes: the root refuses before the gate has to.
+        /// Demand of the callers relative to the slots. Suits nested calls, whose refusal at the guard
+        /// wastes the work already done for the request: the root refuses requests before the gate
+        /// has to.
         Demand,
     }
 }
--- a/crates/coltsfootroute/src/admission/shed_refusal.rs
+++ b/crates/coltsfootroute/src/admission/shed_refusal.rs
@@ -1,16 +1,16 @@
-//! Refusal at the root.
+//! Refusal of a request at the root.
 
 use super::RetryAfter;
 use crate::name::ServiceName;
 
 record_type! {
-    /// A request refused before any part of it ran, because a service it would reach sheds.
+    /// Refusal of a request before any part of it ran, because a service that it would reach sheds load.
     #[derive(thiserror::Error)]
     #[error("service `{service}` sheds work of this importance")]
     pub struct ShedRefusal {
-        /// The service that sheds most.
+        /// Service with the highest shed level.
         pub service: ServiceName,
-        /// When the caller may come back.
+        /// Time to wait before a retry.
         pub retry_after: RetryAfter,
     }
 }
--- a/crates/coltsfootroute/src/admission/waiting_call.rs
+++ b/crates/coltsfootroute/src/admission/waiting_call.rs
@@ -1,28 +1,29 @@
-//! A call that asks to run.
+//! Call that requests admission.
 
 use crate::{importance::Importance, time::MonotonicTime};
 
 value_type! {
-    /// A call as offered to the gate.
+    /// Call offered to the gate.
     pub struct WaitingCall {
-        /// Number of the call; unique among the calls the gate holds.
+        /// Identifier of the call; unique among the calls that wait or run at the gate.
         pub id: u64,
         /// Importance of the client request that causes the call.
         pub importance: Importance,
-        /// When the caller stops waiting.
+        /// Time at which the caller stops waiting.
         pub deadline: MonotonicTime,
-        /// Hash of the client; calls of one importance are shared out fairly between clients.
+        /// Hash of the client, by which calls of the same importance are scheduled fairly.
         pub client: u64,
-        /// Whether work has been spent on the client request already: a nested call.
+        /// Whether the call is nested: part of the client request has already run.
         pub under_way: bool,
     }
 }
 
-/// Number of ranks: two for each importance.
+/// Number of ranks: two for each importance, for calls from clients and for nested calls.
 pub(super) const RANKS: usize = crate::importance::Importance::COUNT * 2;
 
 impl WaitingCall {
-    /// Order of service and, reversed, of eviction: importance first, then work under way.
+    /// Returns the service priority: by importance, then nested calls before others. Calls are evicted
+    /// in the reverse order.
     pub(super) fn rank(&self) -> usize {
         self.importance.index() * 2 + usize::from(self.under_way)
     }
