--- a/crates/coltsfootroute/src/deadline.rs
+++ b/crates/coltsfootroute/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines along the call chain.
+//! Deadlines of calls: propagation along the call chain and checks before work starts.
 
 mod deadline_check;
 mod deadline_verdict;
--- a/crates/coltsfootroute/src/deadline/deadline_check.rs
+++ b/crates/coltsfootroute/src/deadline/deadline_check.rs
@@ -1,24 +1,24 @@
-//! Check of a call's deadline before any work is done for it.
+//! Check of a call's deadline before it starts.
 
 use std::time::Duration;
 
 use super::DeadlineVerdict;
 use crate::time::MonotonicTime;
 
-/// Refuses calls that cannot finish: their work would be wasted and would crowd out calls that can.
+/// Refuses calls that cannot finish in time, since they would waste capacity that other calls can use.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DeadlineCheck {
     margin: Duration,
 }
 
 impl DeadlineCheck {
-    /// A check that keeps `margin` back for the way of the answer.
+    /// Creates a check that reserves `margin` for returning the response.
     pub fn new(margin: Duration) -> Self {
         Self { margin }
     }
 
-    /// Decides at `now` on a call with `deadline` that takes `needed`, the rest of the chain included;
-    /// `None` where too little is known, which admits.
+    /// Decides at `now` on a call that must finish by `deadline` and takes `needed`, including its nested
+    /// calls. A call with an unknown time (`None`) counts as needing only the margin.
     pub fn admit(
         &self,
         now: MonotonicTime,
--- a/crates/coltsfootroute/src/deadline/deadline_verdict.rs
+++ b/crates/coltsfootroute/src/deadline/deadline_verdict.rs
@@ -1,26 +1,26 @@
-//! Verdict on a call's deadline.
+//! Result of a deadline check.
 
 use std::time::Duration;
 
 value_type! {
-    /// Whether a call can finish before its deadline.
+    /// Result of the check whether a call can finish before its deadline.
     pub enum DeadlineVerdict {
-        /// It can, as far as is known.
+        /// The call can finish in time, according to the current estimates.
         Admitted,
         /// The deadline has passed.
         Passed,
-        /// Calls like it take longer than what is remaining.
+        /// Calls of the same operation take longer than the remaining time.
         TooShort {
-            /// Time remaining.
+            /// Time until the deadline.
             remaining: Duration,
-            /// Time that calls like it take.
+            /// Time that calls of the same operation take, plus the margin of the check.
             needed: Duration,
         },
     }
 }
 
 impl DeadlineVerdict {
-    /// Whether the call may start.
+    /// Returns whether the call may start.
     pub fn is_admitted(self) -> bool {
         self == Self::Admitted
     }
--- a/crates/coltsfootroute/src/deadline/service_times.rs
+++ b/crates/coltsfootroute/src/deadline/service_times.rs
@@ -1,4 +1,4 @@
-//! Time that the operations of services take.
+//! Estimated times of the operations of services.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
     time::MonotonicTime,
 };
 
-/// Times of the operations that a node calls or guards, from dispatch to answer: each includes the
-/// rest of the chain below it.
+/// Estimated times, from dispatch to response, of the operations that a node calls or guards. Each
+/// time includes the calls nested below the operation.
 ///
-/// Invariant: at most `max_operations` estimates, of a fixed size each.
+/// Invariant: there are at most `max_operations` estimates, each of a fixed size.
 #[derive(Clone, Debug)]
 pub struct ServiceTimes {
     estimates: IndexMap<ServiceName, IndexMap<OperationName, TimeEstimate>>,
@@ -23,13 +23,14 @@
 }
 
 impl ServiceTimes {
-    /// Estimates for at most `max_operations` operations. An operation takes at least what
-    /// `percent` of its recent calls stayed below: a small share refuses only what hardly ever finishes.
+    /// Creates an empty set for at most `max_operations` operations. The percentile `percent` of the
+    /// recent times of an operation is the minimum time that it needs; with a low percentile, only
+    /// calls that would rarely finish are refused.
     pub fn new(max_operations: usize, percent: u32) -> Self {
         Self { estimates: IndexMap::new(), operation_count: 0, max_operations, percent }
     }
 
-    /// Takes in the time of a call that ended at `now`, whether it completed or ran out of time.
+    /// Records the time of a call that ended at `now`, whether it completed or timed out.
     pub fn record(
         &mut self,
         now: MonotonicTime,
@@ -50,7 +51,7 @@
         self.operation_count += 1;
     }
 
-    /// Time that a call takes at least; `None` where too little is known.
+    /// Returns the minimum time that a call needs; `None` if there are too few recent samples.
     pub fn needed(
         &mut self,
         now: MonotonicTime,
@@ -61,7 +62,7 @@
         self.estimate_mut(service, operation)?.quantile(now, percent)
     }
 
-    /// Forgets the operations for which `keep` is false, after the schema has changed.
+    /// Removes the operations for which `keep` returns `false`, after a change of the schema.
     pub fn retain(&mut self, mut keep: impl FnMut(&ServiceName, &OperationName) -> bool) {
         for (service, operations) in &mut self.estimates {
             operations.retain(|operation, _| keep(service, operation));
@@ -80,7 +81,7 @@
 }
 
 impl Default for ServiceTimes {
-    /// Estimates for 1,024 operations, by their tenth percentile.
+    /// Creates a set for 1,024 operations that uses the tenth percentile.
     fn default() -> Self {
         Self::new(1_024, 10)
     }
--- a/crates/coltsfootroute/src/deadline/time_estimate.rs
+++ b/crates/coltsfootroute/src/deadline/time_estimate.rs
@@ -4,11 +4,11 @@
 
 use crate::time::MonotonicTime;
 
-/// Decaying histogram of times with logarithmic buckets of a fixed number, 4 bytes each.
+/// Decaying histogram of times, with a fixed number of logarithmic buckets of 4 bytes each.
 ///
-/// Counts are halved once per half-life. Where nothing is recorded for a while, as when every call is
-/// refused for its deadline, the estimate fades to unknown and calls are admitted again: an estimate
-/// can not keep itself up.
+/// Counts are halved once per half-life. If nothing is recorded for a while, for example because every
+/// call is refused for its deadline, the estimate becomes unknown and calls are admitted again. An
+/// estimate that is too high is thus corrected.
 #[derive(Clone, Debug)]
 pub struct TimeEstimate {
     counts: [u32; BUCKETS],
@@ -16,28 +16,28 @@
     decayed_at: MonotonicTime,
 }
 
-/// Buckets: each is a quarter wider than the one before, from 50 microseconds to about a minute.
+/// Number of buckets. Each bound is a quarter larger than the one before, from 50 microseconds to about a minute.
 const BUCKETS: usize = 64;
-/// Upper end of the first bucket, in microseconds.
+/// Upper bound of the first bucket, in microseconds.
 const FIRST_BUCKET_MICROS: f64 = 50.0;
-/// Ratio of a bucket's upper end to that of the one before.
+/// Ratio of a bucket's upper bound to that of the previous bucket.
 const BUCKET_RATIO: f64 = 1.25;
-/// Count that one sample adds: fractions survive the halving.
+/// Count added by one sample; larger than 1 so that fractions of a sample remain after halving.
 const SAMPLE_WEIGHT: u32 = 256;
-/// Least samples, decay counted, for an estimate.
+/// Smallest number of samples, after decay, for which an estimate is given.
 const MIN_SAMPLES: u64 = 8;
-/// Time in which a sample loses half its weight.
+/// Time in which the weight of a sample halves.
 const HALF_LIFE: Duration = Duration::from_secs(1);
-/// After as many halvings nothing is left.
+/// Number of halvings after which every count is zero.
 const MAX_HALVINGS: u64 = 32;
 
 impl TimeEstimate {
-    /// An estimate without samples.
+    /// Creates an estimate without samples.
     pub fn new(now: MonotonicTime) -> Self {
         Self { counts: [0; BUCKETS], total: 0, decayed_at: now }
     }
 
-    /// Takes in the time of a call that ended at `now`.
+    /// Records the time of a call that ended at `now`.
     pub fn record(&mut self, now: MonotonicTime, time: Duration) {
         self.decay(now);
         let count = &mut self.counts[bucket_of(time)];
@@ -45,7 +45,7 @@
         self.total += u64::from(SAMPLE_WEIGHT);
     }
 
-    /// The time that `percent` of the calls stay below; `None` where too little is known.
+    /// Returns a lower bound of the percentile `percent` of the call times; `None` if there are too few samples.
     pub fn quantile(&mut self, now: MonotonicTime, percent: u32) -> Option<Duration> {
         self.decay(now);
         if self.total < MIN_SAMPLES * u64::from(SAMPLE_WEIGHT) {
@@ -86,7 +86,7 @@
     bucket.min(BUCKETS - 1)
 }
 
-/// Lower end of a bucket: what is refused for lack of time must really take longer.
+/// Returns the lower bound of a bucket, so that a call is refused only if it really takes longer.
 fn lower_bound(bucket: usize) -> Duration {
     if bucket == 0 {
         return Duration::ZERO;
--- a/crates/coltsfootroute/src/drain.rs
+++ b/crates/coltsfootroute/src/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving: no new work, nothing in flight interrupted.
+//! Draining of a node or an upstream: new work is refused, and work in flight runs to its end.
 
 mod drain_phase;
 mod drain_report;
--- a/crates/coltsfootroute/src/drain/drain_phase.rs
+++ b/crates/coltsfootroute/src/drain/drain_phase.rs
@@ -1,19 +1,19 @@
-//! Phase of a leave.
+//! Phase of a drain.
 
 value_type! {
-    /// Phase of a node or an upstream; only ever moves forward.
+    /// Phase of a node or an upstream; advances only from one variant to a later one.
     pub enum DrainPhase {
-        /// Takes work.
+        /// Accepts new work.
         Serving,
-        /// Takes no new work; what is in flight goes on.
+        /// Accepts no new work; work in flight continues.
         Leaving,
-        /// Nothing is in flight and callers have had time to learn of it: the process may exit.
+        /// No work is in flight and the notice period for callers has passed, so the process may exit.
         Drained,
     }
 }
 
 impl DrainPhase {
-    /// The phase's name in logs and metric labels.
+    /// Returns the name of the phase in logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Serving => "serving",
--- a/crates/coltsfootroute/src/drain/drain_report.rs
+++ b/crates/coltsfootroute/src/drain/drain_report.rs
@@ -1,14 +1,14 @@
-//! What keeps a leave from its end.
+//! Report of an overdue drain.
 
 use std::time::Duration;
 
 value_type! {
-    /// A leave that takes longer than its bound. Nothing is cut off: whoever stops the process
-    /// decides, knowing what is left.
+    /// Report of a drain that takes longer than [`DrainSettings::report_after`](super::DrainSettings::report_after).
+    /// No work is interrupted; the operator who stops the process decides, based on the report.
     pub struct DrainReport {
-        /// Work in flight.
+        /// Number of requests and calls in flight.
         pub in_flight: u64,
-        /// Time since the leave began.
+        /// Time since the start of the drain.
         pub waited: Duration,
     }
 }
--- a/crates/coltsfootroute/src/drain/drain_settings.rs
+++ b/crates/coltsfootroute/src/drain/drain_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a leave.
+//! Settings of a drain.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 record_type! {
     /// Settings of a [`DrainState`](super::DrainState).
     pub struct DrainSettings {
-        /// How long callers get to learn of the leave, however little is in flight.
+        /// Shortest duration of the drain, during which callers are notified of it, even if no work is in flight.
         pub notice: Duration,
-        /// Time after which what is left is reported.
+        /// Time after which the remaining work in flight is reported.
         pub report_after: Duration,
-        /// How long an idle connection of a client stays open, so that a request already on its way is
-        /// answered rather than cut off.
+        /// Time for which an idle client connection stays open, so that a request already on its way is
+        /// answered instead of failing on a closed connection.
         pub client_idle: Duration,
-        /// The same for the upstream beside the node.
+        /// Time for which an idle connection of the upstream on the same host stays open.
         pub host_idle: Duration,
-        /// The same for other nodes.
+        /// Time for which an idle connection of another node stays open.
         pub peer_idle: Duration,
     }
 }
@@ -34,19 +34,19 @@
 }
 
 impl DrainSettings {
-    /// Sets how long callers get to learn of the leave.
+    /// Sets the shortest duration of the drain, during which callers are notified of it.
     pub fn with_notice(mut self, notice: Duration) -> Self {
         self.notice = notice;
         self
     }
 
-    /// Sets the time after which what is left is reported.
+    /// Sets the time after which the remaining work in flight is reported.
     pub fn with_report_after(mut self, report_after: Duration) -> Self {
         self.report_after = report_after;
         self
     }
 
-    /// How long an idle connection of `listener` stays open during a leave.
+    /// Returns the time for which an idle connection of `listener` stays open during a drain.
     pub fn idle_grace(&self, listener: ListenerKind) -> Duration {
         match listener {
             ListenerKind::Client => self.client_idle,
--- a/crates/coltsfootroute/src/drain/drain_state.rs
+++ b/crates/coltsfootroute/src/drain/drain_state.rs
@@ -1,12 +1,13 @@
-//! State of a leave.
+//! State of a drain.
 
 use super::{DrainPhase, DrainReport, DrainSettings, ListenerKind, StartDecision};
 use crate::time::MonotonicTime;
 
-/// Leave of a node, or of the upstream beside it.
+/// State of the drain of a node, or of the upstream on the same host.
 ///
-/// Invariants: after [`DrainState::begin`] no new work starts; nested work starts only while other
-/// work is in flight; the phase only moves forward, and is never `Drained` while anything is in flight.
+/// Invariants: after [`DrainState::begin`] no work from other nodes starts; client requests start only
+/// until the end of the notice period; nested work starts only while other work is in flight; the phase
+/// never moves backward, and is never `Drained` while work is in flight.
 #[derive(Clone, Debug)]
 pub struct DrainState {
     settings: DrainSettings,
@@ -16,20 +17,20 @@
 }
 
 impl DrainState {
-    /// A process that serves.
+    /// Creates the state of a process that is not draining.
     pub fn new(settings: DrainSettings) -> Self {
         Self { settings, started_at: None, in_flight: 0, refused: 0 }
     }
 
-    /// Begins the leave; returns whether it had not begun before. A second call changes nothing.
+    /// Starts the drain; returns whether it had not started before. Further calls have no effect.
     pub fn begin(&mut self, now: MonotonicTime) -> bool {
         let first = self.started_at.is_none();
         self.started_at.get_or_insert(now);
         first
     }
 
-    /// Asks to take in a client's request at `now`. A leaving node still takes them in while callers
-    /// learn of the leave, since it can route them to other hosts.
+    /// Requests to start a client's request at `now`. A draining node still accepts client requests during
+    /// the notice period, since it can route them to other hosts.
     pub fn try_start_client(&mut self, now: MonotonicTime) -> StartDecision {
         if self.started_at.is_some_and(|started_at| started_at + self.settings.notice <= now) {
             self.refused += 1;
@@ -39,7 +40,8 @@
         StartDecision::Started
     }
 
-    /// Asks to start work for the upstream beside the node: a call from another node.
+    /// Requests to start a call from another node to the upstream on the same host. It is refused once the
+    /// drain has started.
     pub fn try_start(&mut self) -> StartDecision {
         if self.started_at.is_some() {
             self.refused += 1;
@@ -49,8 +51,8 @@
         StartDecision::Started
     }
 
-    /// Asks to start a nested call of work that is in flight here: refusing it would interrupt that
-    /// work, so it starts as long as there is any.
+    /// Requests to start a nested call of work that is in flight here. Refusing it would interrupt that
+    /// work, so it is refused only if the drain has started and no work is in flight.
     pub fn try_start_nested(&mut self) -> StartDecision {
         if self.started_at.is_some() && self.in_flight == 0 {
             self.refused += 1;
@@ -60,13 +62,13 @@
         StartDecision::Started
     }
 
-    /// Counts the end of work, its answer written; once for each start.
+    /// Records the end of work, after its response has been written. Must be called once for each start.
     pub fn finish(&mut self) {
         debug_assert!(self.in_flight > 0, "finish without a matching start");
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Phase at `now`.
+    /// Returns the phase at `now`.
     pub fn phase(&self, now: MonotonicTime) -> DrainPhase {
         match self.started_at {
             None => DrainPhase::Serving,
@@ -77,12 +79,12 @@
         }
     }
 
-    /// Whether answers must ask the caller to close its connection.
+    /// Returns whether responses must ask the caller to close its connection.
     pub fn closes_connections(&self) -> bool {
         self.started_at.is_some()
     }
 
-    /// Whether a connection of `listener`, idle since `idle_since`, may be closed.
+    /// Returns whether a connection of `listener` that has been idle since `idle_since` may be closed.
     pub fn may_close(
         &self,
         now: MonotonicTime,
@@ -94,7 +96,8 @@
         from + self.settings.idle_grace(listener) <= now
     }
 
-    /// What is left of a leave that takes longer than its bound.
+    /// Returns a report if work is still in flight [`DrainSettings::report_after`] after the start of the
+    /// drain; `None` otherwise.
     pub fn overdue(&self, now: MonotonicTime) -> Option<DrainReport> {
         let started_at = self.started_at?;
         let waited = now.since(started_at);
@@ -102,12 +105,12 @@
         late.then_some(DrainReport { in_flight: self.in_flight, waited })
     }
 
-    /// Work in flight.
+    /// Returns the number of requests and calls in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight
     }
 
-    /// Work refused because of the leave.
+    /// Returns the number of requests and calls refused because of the drain.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/coltsfootroute/src/drain/listener_kind.rs
+++ b/crates/coltsfootroute/src/drain/listener_kind.rs
@@ -1,13 +1,13 @@
-//! Listeners of a node.
+//! Kinds of listeners of a node.
 
 value_type! {
-    /// A listener, as far as its idle connections go.
+    /// Kind of a listener, which determines when its idle connections are closed during a drain.
     pub enum ListenerKind {
-        /// For clients.
+        /// Accepts connections from clients.
         Client,
-        /// On the host's own address, for the upstream beside the node.
+        /// Accepts connections on the host's own address, for the upstream on the same host.
         Host,
-        /// For other nodes.
+        /// Accepts connections from other nodes.
         Peer,
     }
 }
--- a/crates/coltsfootroute/src/drain/start_decision.rs
+++ b/crates/coltsfootroute/src/drain/start_decision.rs
@@ -1,11 +1,12 @@
-//! Whether work may start.
+//! Decision on starting work while a process may be draining.
 
 value_type! {
-    /// Whether work may start.
+    /// Decision on whether work may start.
     pub enum StartDecision {
-        /// It is counted as in flight and must be finished once.
+        /// The work may start and counts as in flight until [`DrainState::finish`](super::DrainState::finish) is
+        /// called, exactly once.
         Started,
-        /// It must be refused as not run, with the reason `leaving`.
+        /// The work must be refused as not run, with the reason `leaving`.
         Refused,
     }
 }
--- a/crates/coltsfootroute/src/importance.rs
+++ b/crates/coltsfootroute/src/importance.rs
@@ -1,4 +1,4 @@
-//! Importance of a client request.
+//! Importance of client requests.
 
 use std::str::FromStr;
 
@@ -23,24 +23,24 @@
 }
 
 impl Importance {
-    /// Number of levels.
+    /// Number of importance levels.
     pub const COUNT: usize = 5;
 
     /// All levels, least important first.
     pub const ALL: [Self; Self::COUNT] =
         [Self::Background, Self::Low, Self::Normal, Self::High, Self::Critical];
 
-    /// Position in [`Importance::ALL`].
+    /// Returns the position in [`Importance::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// The level at `index`, if there is one.
+    /// Returns the level at `index`; `None` if `index` is out of range.
     pub fn from_index(index: usize) -> Option<Self> {
         Self::ALL.get(index).copied()
     }
 
-    /// The level's name in the schema.
+    /// Returns the name of the level in the schema.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Background => "background",
@@ -65,7 +65,7 @@
     }
 }
 
-/// The text names no level of importance.
+/// Error for a text that is not the name of an importance level.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown importance `{0}`: expected background, low, normal, high or critical")]
 pub struct UnknownImportance(pub String);
--- a/crates/coltsfootroute/src/outcome.rs
+++ b/crates/coltsfootroute/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of its request.
+//! Outcomes and refusal reasons reported to callers.
 
 mod call_outcome;
 mod refusal_reason;
--- a/crates/coltsfootroute/src/outcome/call_outcome.rs
+++ b/crates/coltsfootroute/src/outcome/call_outcome.rs
@@ -3,22 +3,22 @@
 use std::str::FromStr;
 
 value_type! {
-    /// Whether the request that a caller sent has run. It speaks of that request only: a nested
-    /// call's [`CallOutcome::NotRun`] does not make its parent's.
+    /// Whether the request that a caller sent has run. The outcome concerns only that request: if a
+    /// nested call has [`CallOutcome::NotRun`], its parent may have run.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum CallOutcome {
-        /// The request ran and its complete answer is here.
+        /// The request ran and the response is complete.
         Completed,
         /// No part of the request ran on any upstream.
         NotRun,
-        /// The request may have run, wholly or in part.
+        /// The request may have run completely or in part.
         Unknown,
     }
 }
 
 impl CallOutcome {
-    /// The outcome's value in the `coltsfoot-outcome` header.
+    /// Returns the value of the outcome in the `coltsfoot-outcome` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Completed => "completed",
@@ -41,7 +41,7 @@
     }
 }
 
-/// The text names no outcome.
+/// Error for a text that is not the name of an outcome.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown outcome `{0}`: expected completed, not-run or unknown")]
 pub struct UnknownOutcome(pub String);
--- a/crates/coltsfootroute/src/outcome/refusal_reason.rs
+++ b/crates/coltsfootroute/src/outcome/refusal_reason.rs
@@ -1,54 +1,54 @@
-//! Why a call was refused or given up.
+//! Reason for refusing or abandoning a call.
 
 value_type! {
-    /// The reason in the body of a refusal. The reason does not decide the outcome: a deadline can
-    /// pass before or after the call was dispatched.
+    /// Reason in the body of a refusal. The reason does not determine the [`CallOutcome`](super::CallOutcome):
+    /// a deadline, for example, can pass before or after the call was dispatched.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum RefusalReason {
-        /// The service has no room for work of this importance.
+        /// The service has no capacity for work of this importance.
         Overload,
-        /// The node or upstream is leaving.
+        /// The node or the upstream is draining.
         Leaving,
         /// No upstream of the service is known or reachable.
         NoUpstream,
         /// The deadline has passed or cannot be met.
         Deadline,
-        /// The idempotency key stands with another body.
+        /// The idempotency key was already used with a different body.
         KeyConflict,
-        /// The idempotency key is older than the retention of its record.
+        /// The idempotency key is older than the retention period of its record.
         KeyExpired,
         /// An earlier request with this key is still running, or was interrupted.
         KeyInProgress,
-        /// The table service cannot take the claim.
+        /// The table service cannot store the claim.
         StoreUnavailable,
-        /// The upstream's answer was cut off or its connection failed.
+        /// The upstream's response was incomplete or its connection failed.
         UpstreamFailed,
-        /// The node has no configuration in force yet.
+        /// The node has not received a configuration yet.
         NoConfiguration,
         /// The schema declares no such service or operation.
         UnknownOperation,
-        /// A repeat, where its service has had as many as it bears for now.
+        /// The request is a retry, and the retry budget of its service is exhausted.
         RetryBudget,
         /// The request is malformed: a header is missing, wrong or oversized.
         BadRequest,
-        /// The same request has ended the upstreams that ran it.
+        /// The same request has crashed the upstreams that ran it.
         Quarantined,
-        /// The request has no key that a team holds.
+        /// The request has no key, or a key that belongs to no team.
         UnknownKey,
-        /// The node does not know for certain that the key still stands.
+        /// The node's configuration is too old to confirm that the key is still valid.
         StaleConfiguration,
-        /// The team has sent as many requests as it may.
+        /// The team has exceeded its request rate.
         RateLimited,
-        /// No node that keeps the team's rate can be asked.
+        /// None of the nodes that track the team's rate is reachable.
         RateUnknown,
-        /// The work that the call is nested below has ended, or is not known here.
+        /// The parent request of the nested call has ended or is unknown to this node.
         Orphaned,
     }
 }
 
 impl RefusalReason {
-    /// All reasons.
+    /// All refusal reasons.
     pub const ALL: [Self; 19] = [
         Self::Overload,
         Self::Leaving,
@@ -71,7 +71,7 @@
         Self::Orphaned,
     ];
 
-    /// The reason's name in a refusal's body, in logs and in metric labels.
+    /// Returns the name of the reason in refusal bodies, logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Overload => "overload",
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The HTTP status that carries the reason.
+    /// Returns the HTTP status of a refusal for this reason.
     pub fn status(self) -> u16 {
         match self {
             Self::Deadline => 504,
