--- a/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
@@ -41,12 +41,12 @@
     /// Counts a call as in flight; `None` if a leaving node no longer takes its kind.
     pub fn start_call(self: &Rc<Self>, kind: CallKind) -> Option<StartedCall> {
         let mut drain = self.drain.borrow_mut();
-        let answer = match kind {
+        let decision = match kind {
             CallKind::Client => drain.try_start_client(self.context.now()),
             CallKind::Guarded => drain.try_start(),
             CallKind::Nested => drain.try_start_nested(),
         };
-        (answer == StartDecision::Started).then(|| StartedCall { guard: self.clone() })
+        (decision == StartDecision::Started).then(|| StartedCall { guard: self.clone() })
     }
 
     /// Whether a planned stop has been asked for.
--- a/crates/coltsfootroute/tests/integration/admission.rs
+++ b/crates/coltsfootroute/tests/integration/admission.rs
@@ -1,10 +1,10 @@
-//! Admission: scenarios, fuzz against an oracle, limits, shed levels.
+//! Tests of admission control: scenarios, fuzzing against an oracle, limits and shed levels.
 
 mod fuzz;
 mod gate;
-mod gone_service;
 mod levels;
 mod limits;
 mod reached;
 mod scenarios;
 mod shed_loop;
+mod unavailable_service;
--- a/crates/coltsfootroute/tests/integration/admission/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/admission/fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of the gate against a simple oracle.
+//! Stateful fuzzing of the admission gate against a simple oracle.
 
 use coltsfootroute::{
     admission::{
@@ -32,14 +32,14 @@
     Ended,
 }
 
-/// What the gate was told and has answered, and what must follow from it.
+/// Gate under test, with a record of its inputs and verdicts and checks of the expected behaviour.
 struct Oracle<L: ConcurrencyLimit> {
     gate: AdmissionGate<L>,
     now: MonotonicTime,
     slots: u32,
     draining: bool,
     calls: IndexMap<u64, (WaitingCall, Fate, MonotonicTime)>,
-    /// Longest time from start to end of any call: bounds every estimate.
+    /// Longest time in microseconds from start to end of any call: upper bound of every estimate.
     longest_run: u64,
 }
 
@@ -130,7 +130,7 @@
 
     fn check_verdict(&mut self, verdict: &AdmissionVerdict) {
         let (call, fate, _) = self.calls[&verdict.id];
-        assert_eq!(fate, Fate::Waiting, "second verdict on {call:?}");
+        assert_eq!(fate, Fate::Waiting, "more than one verdict on {call:?}");
         let fate = match verdict.decision {
             AdmissionDecision::Run => {
                 self.check_run(&call);
@@ -146,27 +146,30 @@
 
     fn check_run(&self, call: &WaitingCall) {
         let running = self.with_fate(Fate::Running).count() as u32;
-        assert!(running < self.gate.limit(), "above the limit");
-        assert!(call.deadline > self.now, "expired work runs");
+        assert!(running < self.gate.limit(), "more calls in flight than the limit");
+        assert!(call.deadline > self.now, "a call started after its deadline");
         let before = self.with_fate(Fate::Waiting).find(|other| rank(other) > rank(call));
-        assert_eq!(before, None, "goes before {call:?}");
+        assert_eq!(before, None, "a call of higher rank waits while {call:?} starts");
     }
 
     fn check_refusal(&self, call: &WaitingCall, reason: RefusalReason) {
         match reason {
             RefusalReason::Overload => {
                 let lower = self.with_fate(Fate::Waiting).find(|other| rank(other) < rank(call));
-                assert_eq!(lower, None, "waits while {call:?} is refused");
+                assert_eq!(lower, None, "a call of lower rank waits while {call:?} is refused");
             }
             RefusalReason::Deadline => {
-                assert!(call.deadline.0 <= self.now.0 + self.longest_run, "{call:?} had time");
+                assert!(
+                    call.deadline.0 <= self.now.0 + self.longest_run,
+                    "{call:?} could have finished in time"
+                );
             }
             RefusalReason::Leaving => assert!(self.draining),
             other => panic!("unexpected reason {other}"),
         }
     }
 
-    /// Ends every call: each has got its one verdict then.
+    /// Finishes every call, and checks that each got its one verdict.
     fn end(mut self) {
         self.step(&Step::Drain);
         while let Some(id) = self.pick(0, Fate::Running) {
--- a/crates/coltsfootroute/tests/integration/admission/gate.rs
+++ b/crates/coltsfootroute/tests/integration/admission/gate.rs
@@ -1,4 +1,4 @@
-//! Single properties of the gate that the scenarios don't show.
+//! Tests of properties of the gate that the scenarios do not cover.
 
 use coltsfootroute::{
     admission::{
@@ -28,13 +28,13 @@
     gate.offer(MonotonicTime::ZERO, call(0, 0, 60_000));
     let mut running = 0;
 
-    // The greedy client offers nine calls for each one of the modest client.
+    // The greedy client offers nine calls for each call of the modest client.
     for id in 1..1_000 {
         let now = MonotonicTime::from_millis(id);
         gate.offer(now, call(id, u64::from(id % 10 == 0), 60_000));
         if id % 5 == 0 {
             let next = started(&gate.finish(now, running, CallFinish::Succeeded));
-            running = next.expect("calls wait");
+            running = next.expect("a waiting call");
             served[usize::from(running % 10 == 0)] += 1;
         }
     }
@@ -43,17 +43,18 @@
     assert!(served[1] >= 95, "the modest client got {} of its 99 calls", served[1]);
 }
 
-/// Pattern: a queue stands at a service that a chain calls again and again. What clients ask for themselves is refused soon,
-/// so that they hear of it; a call below work that runs already waits on, or that work is lost.
+/// A call chain calls the same service repeatedly, and the queue of this service does not become empty. Calls made by
+/// clients themselves are refused early, so that the clients are notified. Nested calls keep waiting, since a refusal
+/// would waste the work already done by their callers.
 #[test]
-fn where_a_queue_stands_only_new_work_is_given_up_soon() {
+fn under_overload_only_calls_that_are_not_nested_are_refused_early() {
     let mut gate = AdmissionGate::new(AdmissionSettings::new(1).with_queue_length(20));
     let at = MonotonicTime::from_millis;
     let nested = |id| WaitingCall { under_way: true, ..call(id, 0, 60_000) };
     gate.offer(at(0), call(0, 0, 60_000));
     gate.offer(at(0), nested(1));
     gate.offer(at(350), nested(2));
-    // The first has been given up; the queue has stood for longer than the overload interval.
+    // The first nested call has been refused; the queue has been non-empty for longer than the overload interval.
     gate.offer(at(600), call(3, 0, 60_000));
     gate.offer(at(600), nested(4));
 
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn an_estimate_from_a_slow_phase_does_not_refuse_for_ever() {
+fn an_estimate_from_a_slow_phase_does_not_refuse_forever() {
     let mut gate = AdmissionGate::new(AdmissionSettings::new(1));
     let at = MonotonicTime::from_millis;
     gate.offer(at(0), call(1, 0, 5_000));
@@ -83,7 +84,7 @@
     let mut gate = AdmissionGate::new(AdmissionSettings::new(1));
     let background = |id| WaitingCall { importance: Importance::Background, ..call(id, 0, 60_000) };
 
-    // Callers that don't follow the level: one call a millisecond, none of which can start.
+    // Callers that ignore the level: one call per millisecond, none of which can start.
     for id in 0..2_000 {
         gate.offer(MonotonicTime::from_millis(id), background(id));
     }
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn calls_given_up_raise_the_estimate_but_never_lower_it() {
+fn cancelled_calls_raise_the_estimate_but_never_lower_it() {
     let mut gate = AdmissionGate::new(AdmissionSettings::new(1));
     let at = MonotonicTime::from_millis;
     let estimate = |gate: &AdmissionGate, now| gate.service_time(now, Importance::Normal);
--- a/crates/coltsfootroute/tests/integration/admission/levels.rs
+++ b/crates/coltsfootroute/tests/integration/admission/levels.rs
@@ -1,4 +1,4 @@
-//! Shed levels at callers, retry hints and the count of breaches.
+//! Tests of shed levels at callers, retry delays and the counter of breaches.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn level_decays_within_about_a_second_without_news() {
+fn level_decays_within_about_a_second_without_responses() {
     let mut levels = ServiceLevels::new();
 
     levels.observe(at(0), &service(), guard(1), ShedLevel::from_severity(2_000));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn level_is_the_mean_weighted_by_answers() {
+fn level_is_the_mean_weighted_by_responses() {
     let mut levels = ServiceLevels::new();
 
     for _ in 0..90 {
@@ -101,7 +101,7 @@
     let high = hints(Importance::High);
 
     let ends = |hints: &[u128]| (*hints.iter().min().unwrap(), *hints.iter().max().unwrap());
-    // 0.3 s and a span of 0.7 s, twice the load, 4.5 and 1.5 times the distance.
+    // From 0.3 s, over a range of 0.7 s times the load ratio of 2, times 1 plus the distance: 4.5 and 1.5.
     let (least, greatest) = ends(&background);
     assert!((300..450).contains(&least) && (6_450..=6_600).contains(&greatest));
     let (least, greatest) = ends(&high);
@@ -135,7 +135,7 @@
     };
 
     let low = admit(&mut gate, 0, Importance::Low);
-    // Sheds all below `critical` from now on.
+    // The service now sheds all work below `critical`.
     for millis in 1..50 {
         gate.levels_mut().observe(
             at(millis),
--- a/crates/coltsfootroute/tests/integration/admission/limits.rs
+++ b/crates/coltsfootroute/tests/integration/admission/limits.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits under shedding, slowness and recovery.
+//! Tests of concurrency limits while the upstream sheds load, is slow and recovers.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 const SLOTS: u32 = 100;
 const FAST: Duration = Duration::from_millis(10);
 
-/// Reports an end every millisecond for `millis`, each call having taken `service_time`.
+/// Reports one finished call per millisecond for `millis` milliseconds, each with `service_time`.
 fn feed(
     limit: &mut impl ConcurrencyLimit,
     start: u64,
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn aimd_falls_while_the_upstream_sheds_and_reopens_within_two_seconds() {
+fn aimd_decreases_while_the_upstream_sheds_and_recovers_within_two_seconds() {
     let mut limit = AimdLimit::new(SLOTS);
 
     feed(&mut limit, 0, 5_000, CallFinish::ShedByUpstream, FAST);
     let lowest = limit.limit();
     feed(&mut limit, 5_000, 2_000, CallFinish::Succeeded, FAST);
 
-    assert_eq!(lowest, SLOTS / 10, "falls to the floor and not below");
+    assert_eq!(lowest, SLOTS / 10, "decreases to the lowest limit and not below");
     assert_eq!(limit.limit(), SLOTS);
 }
 
@@ -78,12 +78,12 @@
 #[case::aimd(AimdLimit::new(SLOTS))]
 #[case::gradient(GradientLimit::new(SLOTS))]
 #[case::delay(DelayLimit::new(SLOTS))]
-fn no_limit_collapses_and_all_reopen(#[case] mut limit: impl ConcurrencyLimit) {
+fn no_limit_collapses_and_all_recover(#[case] mut limit: impl ConcurrencyLimit) {
     feed(&mut limit, 0, 1_000, CallFinish::Succeeded, FAST);
     feed(&mut limit, 1_000, 5_000, CallFinish::Succeeded, FAST * 50);
     let slow = limit.limit();
     feed(&mut limit, 6_000, 2_000, CallFinish::Succeeded, FAST);
 
-    assert!(slow >= SLOTS / 10, "collapsed to {slow}");
-    assert!(limit.limit() >= SLOTS * 9 / 10, "still at {}", limit.limit());
+    assert!(slow >= SLOTS / 10, "decreased to {slow}");
+    assert!(limit.limit() >= SLOTS * 9 / 10, "not recovered: limit {}", limit.limit());
 }
--- a/crates/coltsfootroute/tests/integration/admission/reached.rs
+++ b/crates/coltsfootroute/tests/integration/admission/reached.rs
@@ -1,4 +1,4 @@
-//! Which services an operation reaches, learnt from answers.
+//! Tests of the services that an operation reaches, as observed from responses.
 
 use coltsfootroute::{
     admission::ReachedServices,
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn nothing_is_known_before_the_first_answer() {
+fn no_services_are_known_before_the_first_response() {
     assert_eq!(of(&ReachedServices::new()), None);
 }
 
 #[test]
-fn the_services_of_all_answers_are_kept() {
+fn services_of_all_responses_are_kept() {
     let mut reached = ReachedServices::new();
 
     observe(&mut reached, 1, &["renewals", "medicals"]);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_service_that_is_not_reached_any_more_is_forgotten() {
+fn a_service_that_is_no_longer_reached_is_removed() {
     let mut reached = ReachedServices::new();
     observe(&mut reached, 1, &["renewals", "medicals"]);
 
--- a/crates/coltsfootroute/tests/integration/admission/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/admission/scenarios.rs
@@ -52,7 +52,7 @@
     fn replace_gate(&mut self, case: &mut TestCase) -> String {
         let mut settings =
             AdmissionSettings::new(take(case, "slots")).with_queue_length(take(case, "queue"));
-        // Stated here, so that the scenarios hold whatever the defaults are tuned to.
+        // Set explicitly, so that the scenarios do not depend on the defaults.
         settings = settings
             .with_max_queue_delay(Duration::from_millis(100))
             .with_overload_queue_delay(Duration::from_millis(50))
--- a/crates/coltsfootroute/tests/integration/deadline.rs
+++ b/crates/coltsfootroute/tests/integration/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines.
+//! Tests of deadline propagation, deadline checks and time estimates.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     OperationName::new("read")
 }
 
-/// Microseconds; often none, so that rounding shows.
+/// Generates margins in microseconds, often zero so that rounding errors become visible.
 fn margin() -> impl Strategy<Value = u64> {
     prop_oneof![Just(0), 0..5_000u64]
 }
@@ -42,20 +42,20 @@
         ..ProptestConfig::default()
     })]
 
-    /// Each hop has its own clock, spends some time and keeps a margin back.
+    /// Each hop has its own clock, uses some time and reserves a margin.
     #[test]
     fn no_hop_extends_a_deadline(
-        asked in 0..20_000u64,
+        initial in 0..20_000u64,
         hops in prop::collection::vec((0..1_000_000_000u64, 0..500_000u64, margin()), 1..28),
     ) {
-        let mut remaining = Remaining(asked);
+        let mut remaining = Remaining(initial);
         let mut elapsed = 0;
         for (clock, spent, margin) in hops {
             let deadline = remaining.deadline(MonotonicTime(clock));
             let later = MonotonicTime(clock + spent);
             remaining = Remaining::until(later, deadline).minus_margin(Duration::from_micros(margin));
             elapsed += spent + margin;
-            prop_assert!(remaining.0 * 1_000 <= (asked * 1_000).saturating_sub(elapsed));
+            prop_assert!(remaining.0 * 1_000 <= (initial * 1_000).saturating_sub(elapsed));
         }
     }
 }
@@ -67,20 +67,20 @@
 #[case::not_enough_with_margin(21, Some(20), false)]
 #[case::passed(0, None, false)]
 fn a_call_that_cannot_finish_is_refused(
-    #[case] left: u64,
+    #[case] remaining: u64,
     #[case] needed: Option<u64>,
     #[case] admitted: bool,
 ) {
     let check = DeadlineCheck::new(millis(if needed.is_some() { 2 } else { 0 }));
     let now = MonotonicTime::from_millis(500);
 
-    let verdict = check.admit(now, now + millis(left), needed.map(millis));
+    let verdict = check.admit(now, now + millis(remaining), needed.map(millis));
 
     assert_eq!(verdict.is_admitted(), admitted, "{verdict:?}");
 }
 
 #[test]
-fn a_passed_deadline_is_told_from_a_short_one() {
+fn a_passed_deadline_is_distinguished_from_a_short_one() {
     let now = MonotonicTime::from_millis(500);
 
     let verdict = DeadlineCheck::default().admit(now, MonotonicTime::from_millis(499), None);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_estimate_that_refuses_everything_fades() {
+fn an_estimate_that_refuses_every_call_decays() {
     let mut times = times_of((0..100).map(|_| 1_000));
 
     let after = |times: &mut ServiceTimes, secs: u64| {
--- a/crates/coltsfootroute/tests/integration/drain.rs
+++ b/crates/coltsfootroute/tests/integration/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving.
+//! Tests of draining.
 
 mod drain_fuzz;
 mod scenarios;
--- a/crates/coltsfootroute/tests/integration/drain/drain_fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/drain/drain_fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of the leave: nothing starts after it, nothing in flight is interrupted.
+//! Stateful fuzzing of draining: no new work starts once it has begun, and no work in flight is interrupted.
 
 use coltsfootroute::{
     drain::{DrainPhase, DrainSettings, DrainState, StartDecision},
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default)]
 struct Oracle {
     now_ms: u64,
-    begun_ms: Option<u64>,
+    started_ms: Option<u64>,
     in_flight: u64,
-    /// Whether the last step may start work.
+    /// Whether the work of the last step may start.
     may_start: bool,
 }
 
@@ -52,12 +52,12 @@
 
     fn apply(mut state: Self, step: &Step) -> Self {
         state.may_start = match step {
-            Step::Start => state.begun_ms.is_none(),
-            Step::Nested => state.begun_ms.is_none() || state.in_flight > 0,
+            Step::Start => state.started_ms.is_none(),
+            Step::Nested => state.started_ms.is_none() || state.in_flight > 0,
             _ => false,
         };
         match step {
-            Step::Begin => state.begun_ms = state.begun_ms.or(Some(state.now_ms)),
+            Step::Begin => state.started_ms = state.started_ms.or(Some(state.now_ms)),
             Step::Start | Step::Nested => state.in_flight += u64::from(state.may_start),
             Step::Finish => state.in_flight -= 1,
             Step::Wait(millis) => state.now_ms += millis,
@@ -92,17 +92,18 @@
             Step::Wait(_) => {}
         }
         let phase = state.phase(now);
-        assert!(before <= phase, "went back from {before} to {phase}");
+        assert!(before <= phase, "phase went backward from {before} to {phase}");
         (state, phase)
     }
 
     fn check_invariants((state, _): &Self::SystemUnderTest, oracle: &Oracle) {
         let now = MonotonicTime::from_millis(oracle.now_ms);
         let notice_ms = DrainSettings::default().notice.as_millis() as u64;
-        let noticed = oracle.begun_ms.is_some_and(|begun| begun + notice_ms <= oracle.now_ms);
-        let expected = match oracle.begun_ms {
+        let notice_passed =
+            oracle.started_ms.is_some_and(|started| started + notice_ms <= oracle.now_ms);
+        let expected = match oracle.started_ms {
             None => DrainPhase::Serving,
-            Some(_) if noticed && oracle.in_flight == 0 => DrainPhase::Drained,
+            Some(_) if notice_passed && oracle.in_flight == 0 => DrainPhase::Drained,
             Some(_) => DrainPhase::Leaving,
         };
         assert_eq!(state.phase(now), expected);
--- a/crates/coltsfootroute/tests/integration/drain/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/drain/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios: `tests/scenarios/drain-*.txt`.
+//! Runs the scenarios `tests/scenarios/drain-*.txt`.
 
 use std::path::PathBuf;
 
@@ -19,8 +19,8 @@
         match case.directive.as_str() {
             "time" => self.now = MonotonicTime::from_millis(case.take_arg("ms").unwrap()),
             "begin" => return format!("first: {}\n", self.state.begin(self.now)),
-            "start" => return answer_text(self.state.try_start()),
-            "nested" => return answer_text(self.state.try_start_nested()),
+            "start" => return decision_text(self.state.try_start()),
+            "nested" => return decision_text(self.state.try_start_nested()),
             "finish" => self.state.finish(),
             "status" => return self.status(),
             "idle" => return self.idle(case),
@@ -49,8 +49,8 @@
     }
 }
 
-fn answer_text(answer: StartDecision) -> String {
-    match answer {
+fn decision_text(decision: StartDecision) -> String {
+    match decision {
         StartDecision::Started => "started\n".to_owned(),
         StartDecision::Refused => "refused\n".to_owned(),
     }
