--- a/crates/coltsfootroute/src/admission/level_average.rs
+++ b/crates/coltsfootroute/src/admission/level_average.rs
@@ -42,11 +42,11 @@
     /// Returns the average at `now`, decayed if no response has arrived recently.
     pub fn level(&self, now: MonotonicTime) -> ShedLevel {
         let average = self.sum / self.weight;
-        let decaying = self.age(now).saturating_sub(DECAY_DELAY);
-        if decaying.is_zero() {
+        let decay_time = self.age(now).saturating_sub(DECAY_DELAY);
+        if decay_time.is_zero() {
             return ShedLevel::from_levels(average);
         }
-        let halvings = decaying.as_micros() as f64 / HALF_LIFE_MICROS;
+        let halvings = decay_time.as_micros() as f64 / HALF_LIFE_MICROS;
         ShedLevel::from_levels(average * (-halvings).exp2())
     }
 
--- a/crates/coltsfootroute/src/admission/retry_after.rs
+++ b/crates/coltsfootroute/src/admission/retry_after.rs
@@ -8,11 +8,11 @@
 use crate::importance::Importance;
 
 /// Shortest hint. A shed level takes about 0.4 s to follow half of a change in demand, so an earlier retry would
-/// meet the same level that refused the request.
+/// be decided by the same level that refused the request.
 const MIN_HINT: Duration = Duration::from_millis(300);
 /// Width of the range of hints for work at the border importance; the range grows by as much for each whole level below
-/// it. Longer hints waste capacity: callers that are told to wait several seconds often give up, although a short
-/// overload would have ended before that.
+/// it. Longer hints waste capacity: callers that wait for several seconds often give up before they retry, although a
+/// shorter overload has left free slots in the meantime.
 const HINT_SPAN: Duration = Duration::from_millis(700);
 /// Range of hints, in milliseconds, where a node, an upstream or a configuration is missing rather than overloaded: a
 /// node that stops is back within seconds, and an upstream that is gone is replaced as soon as another one is known.
--- a/crates/coltsfootroute/tests/integration/admission/unavailable_service.rs
+++ b/crates/coltsfootroute/tests/integration/admission/unavailable_service.rs
@@ -2,9 +2,10 @@
 //!
 //! Requests that reach the service would waste the work of the services above it, and fail in a way after which an
 //! order must not be retried. The node that finds no upstream therefore reports the highest level, and requests are
-//! refused where they enter, with a retry delay. Basis of the numbers: an order runs for about 100 ms before its nested call
-//! fails; a restarted node is unavailable for two to three seconds, and the requests that are occasionally admitted as
-//! probes must be only a part of those in that time.
+//! refused where they enter, with a retry delay.
+//!
+//! Basis of the numbers: an order runs for about 100 ms before its nested call fails. A restarted node is unavailable
+//! for two to three seconds, and requests that are admitted as probes may be only a part of the requests in that time.
 
 use std::net::SocketAddr;
 
