--- a/crates/coltsfootroute/src/admission/reached_services.rs
+++ b/crates/coltsfootroute/src/admission/reached_services.rs
@@ -1,4 +1,4 @@
-//! Which services the calls of an operation reach, learnt from the answers.
+//! Services reached by the calls of each operation, as observed from responses.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,36 +9,36 @@
     time::MonotonicTime,
 };
 
-/// A service not reached for so long is forgotten: a new release may call others.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// Operations remembered at most.
+/// Time after which a service that is no longer reached is removed, since a new release may call other services.
+const SERVICE_RETENTION: Duration = Duration::from_secs(60);
+/// Largest number of operations that are stored.
 const MAX_OPERATIONS: usize = 4_096;
 
-/// Which services the calls of an operation reach at any depth, learnt from the levels that come back with
-/// answers; for a configuration that does not declare the call graph.
+/// Services that the calls of an operation reach at any depth, observed from the shed levels in responses; used
+/// where the configuration does not declare the call graph.
 ///
-/// Invariant: an operation's own service is always among those it reaches.
+/// Invariant: the services reached by an operation always include its own service.
 #[derive(Clone, Debug, Default)]
 pub struct ReachedServices {
-    operations: IndexMap<ServiceName, IndexMap<OperationName, ReachEntry>>,
-    count: usize,
+    operations: IndexMap<ServiceName, IndexMap<OperationName, OperationEntry>>,
+    operation_count: usize,
 }
 
 #[derive(Clone, Debug)]
-struct ReachEntry {
-    /// When each service was reached last.
-    seen: IndexMap<ServiceName, MonotonicTime>,
-    /// The same services, to be shared.
+struct OperationEntry {
+    /// Time at which each service was last reached.
+    last_reached: IndexMap<ServiceName, MonotonicTime>,
+    /// The same services as a shared slice.
     services: Arc<[ServiceName]>,
 }
 
 impl ReachedServices {
-    /// Nothing is known yet.
+    /// Creates an empty set of operations.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An answer to a call of the operation has brought word from `services`.
+    /// Records that a response to a call of the operation carried the levels of `services`.
     pub fn observe<'a>(
         &mut self,
         now: MonotonicTime,
@@ -47,23 +47,23 @@
         services: impl Iterator<Item = &'a ServiceName>,
     ) {
         let Some(entry) = self.entry(now, service, operation) else { return };
-        let before = entry.seen.len();
+        let before = entry.last_reached.len();
         for reached in services {
-            match entry.seen.get_mut(reached) {
-                Some(seen) => *seen = now,
+            match entry.last_reached.get_mut(reached) {
+                Some(last_reached) => *last_reached = now,
                 None => {
-                    entry.seen.insert(reached.clone(), now);
+                    entry.last_reached.insert(reached.clone(), now);
                 }
             }
         }
-        entry.seen.insert(service.clone(), now);
-        entry.seen.retain(|_, seen| now.since(*seen) < FORGET_AFTER);
-        if entry.seen.len() != before || entry.services.len() != before {
-            entry.services = entry.seen.keys().cloned().collect();
+        entry.last_reached.insert(service.clone(), now);
+        entry.last_reached.retain(|_, last_reached| now.since(*last_reached) < SERVICE_RETENTION);
+        if entry.last_reached.len() != before || entry.services.len() != before {
+            entry.services = entry.last_reached.keys().cloned().collect();
         }
     }
 
-    /// The services that calls of the operation reach; `None` before the first answer.
+    /// Returns the services that calls of the operation reach; `None` before the first response.
     pub fn of(
         &self,
         service: &ServiceName,
@@ -78,16 +78,16 @@
         now: MonotonicTime,
         service: &ServiceName,
         operation: &OperationName,
-    ) -> Option<&mut ReachEntry> {
+    ) -> Option<&mut OperationEntry> {
         let is_known =
             self.operations.get(service).is_some_and(|entries| entries.contains_key(operation));
         if !is_known {
-            if self.count >= MAX_OPERATIONS {
+            if self.operation_count >= MAX_OPERATIONS {
                 return None;
             }
-            self.count += 1;
-            let entry = ReachEntry {
-                seen: IndexMap::from([(service.clone(), now)]),
+            self.operation_count += 1;
+            let entry = OperationEntry {
+                last_reached: IndexMap::from([(service.clone(), now)]),
                 services: Arc::from([service.clone()]),
             };
             let entries = self.operations.entry(service.clone()).or_default();
--- a/crates/coltsfootroute/src/drain/drain_state.rs
+++ b/crates/coltsfootroute/src/drain/drain_state.rs
@@ -1,113 +1,116 @@
-//! State of a leave.
+//! State of a drain.
 
-use super::{DrainPhase, DrainReport, DrainSettings, ListenerKind, StartAnswer};
+use super::{DrainPhase, DrainReport, DrainSettings, ListenerKind, StartDecision};
 use crate::time::MonotonicTime;
 
-/// Leave of a node, or of the upstream beside it.
+/// State of the drain of a node, or of the upstream on the same host.
 ///
-/// Invariants: after [`DrainState::begin`] no new work starts; nested work starts only while other
-/// work is in flight; the phase only moves forward, and is never `Drained` while anything is in flight.
+/// Invariants: after [`DrainState::begin`] no work from other nodes starts; client requests start only
+/// until the end of the notice period; nested work starts only while other work is in flight; the phase
+/// never moves backward, and is never `Drained` while work is in flight.
 #[derive(Clone, Debug)]
 pub struct DrainState {
     settings: DrainSettings,
-    begun_at: Option<MonotonicTime>,
+    started_at: Option<MonotonicTime>,
     in_flight: u64,
     refused: u64,
 }
 
 impl DrainState {
-    /// A process that serves.
+    /// Creates the state of a process that is not draining.
     pub fn new(settings: DrainSettings) -> Self {
-        Self { settings, begun_at: None, in_flight: 0, refused: 0 }
+        Self { settings, started_at: None, in_flight: 0, refused: 0 }
     }
 
-    /// Begins the leave; returns whether it had not begun before. A second call changes nothing.
+    /// Starts the drain; returns whether it had not started before. Further calls have no effect.
     pub fn begin(&mut self, now: MonotonicTime) -> bool {
-        let first = self.begun_at.is_none();
-        self.begun_at.get_or_insert(now);
+        let first = self.started_at.is_none();
+        self.started_at.get_or_insert(now);
         first
     }
 
-    /// Asks to take in a client's request at `now`. A leaving node still takes them in while callers
-    /// learn of the leave, since it can route them to other hosts.
-    pub fn client_started(&mut self, now: MonotonicTime) -> StartAnswer {
-        if self.begun_at.is_some_and(|begun_at| begun_at + self.settings.notice <= now) {
+    /// Requests to start a client's request at `now`. A draining node still accepts client requests during
+    /// the notice period, since it can route them to other hosts.
+    pub fn try_start_client(&mut self, now: MonotonicTime) -> StartDecision {
+        if self.started_at.is_some_and(|started_at| started_at + self.settings.notice <= now) {
             self.refused += 1;
-            return StartAnswer::Refused;
+            return StartDecision::Refused;
         }
         self.in_flight += 1;
-        StartAnswer::Started
+        StartDecision::Started
     }
 
-    /// Asks to start work for the upstream beside the node: a call from another node.
-    pub fn started(&mut self) -> StartAnswer {
-        if self.begun_at.is_some() {
+    /// Requests to start a call from another node to the upstream on the same host. It is refused once the
+    /// drain has started.
+    pub fn try_start(&mut self) -> StartDecision {
+        if self.started_at.is_some() {
             self.refused += 1;
-            return StartAnswer::Refused;
+            return StartDecision::Refused;
         }
         self.in_flight += 1;
-        StartAnswer::Started
+        StartDecision::Started
     }
 
-    /// Asks to start a nested call of work that is in flight here: refusing it would interrupt that
-    /// work, so it starts as long as there is any.
-    pub fn nested_started(&mut self) -> StartAnswer {
-        if self.begun_at.is_some() && self.in_flight == 0 {
+    /// Requests to start a nested call of work that is in flight here. Refusing it would interrupt that
+    /// work, so it is refused only if the drain has started and no work is in flight.
+    pub fn try_start_nested(&mut self) -> StartDecision {
+        if self.started_at.is_some() && self.in_flight == 0 {
             self.refused += 1;
-            return StartAnswer::Refused;
+            return StartDecision::Refused;
         }
         self.in_flight += 1;
-        StartAnswer::Started
+        StartDecision::Started
     }
 
-    /// Counts the end of work, its answer written; once for each start.
-    pub fn finished(&mut self) {
-        debug_assert!(self.in_flight > 0, "finished without started");
+    /// Records the end of work, after its response has been written. Must be called once for each start.
+    pub fn finish(&mut self) {
+        debug_assert!(self.in_flight > 0, "finish without a matching start");
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Phase at `now`.
+    /// Returns the phase at `now`.
     pub fn phase(&self, now: MonotonicTime) -> DrainPhase {
-        match self.begun_at {
+        match self.started_at {
             None => DrainPhase::Serving,
-            Some(begun_at) if self.in_flight == 0 && begun_at + self.settings.notice <= now => {
+            Some(started_at) if self.in_flight == 0 && started_at + self.settings.notice <= now => {
                 DrainPhase::Drained
             }
             Some(_) => DrainPhase::Leaving,
         }
     }
 
-    /// Whether answers must ask the caller to close its connection.
+    /// Returns whether responses must ask the caller to close its connection.
     pub fn closes_connections(&self) -> bool {
-        self.begun_at.is_some()
+        self.started_at.is_some()
     }
 
-    /// Whether a connection of `listener`, idle since `idle_since`, may be closed.
+    /// Returns whether a connection of `listener` that has been idle since `idle_since` may be closed.
     pub fn may_close(
         &self,
         now: MonotonicTime,
         listener: ListenerKind,
         idle_since: MonotonicTime,
     ) -> bool {
-        let Some(begun_at) = self.begun_at else { return false };
-        let from = idle_since.max(begun_at);
+        let Some(started_at) = self.started_at else { return false };
+        let from = idle_since.max(started_at);
         from + self.settings.idle_grace(listener) <= now
     }
 
-    /// What is left of a leave that takes longer than its bound.
+    /// Returns a report if work is still in flight [`DrainSettings::report_after`] after the start of the
+    /// drain; `None` otherwise.
     pub fn overdue(&self, now: MonotonicTime) -> Option<DrainReport> {
-        let begun_at = self.begun_at?;
-        let waited = now.since(begun_at);
+        let started_at = self.started_at?;
+        let waited = now.since(started_at);
         let late = waited >= self.settings.report_after && self.in_flight > 0;
         late.then_some(DrainReport { in_flight: self.in_flight, waited })
     }
 
-    /// Work in flight.
+    /// Returns the number of requests and calls in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight
     }
 
-    /// Work refused because of the leave.
+    /// Returns the number of requests and calls refused because of the drain.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/coltsfootroute/tests/integration/drain/drain_fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/drain/drain_fuzz.rs
@@ -1,7 +1,7 @@
-//! Stateful fuzzing of the leave: nothing starts after it, nothing in flight is interrupted.
+//! Stateful fuzzing of draining: no new work starts once it has begun, and no work in flight is interrupted.
 
 use coltsfootroute::{
-    drain::{DrainPhase, DrainSettings, DrainState, StartAnswer},
+    drain::{DrainPhase, DrainSettings, DrainState, StartDecision},
     time::MonotonicTime,
 };
 use proptest::prelude::*;
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default)]
 struct Oracle {
     now_ms: u64,
-    begun_ms: Option<u64>,
+    started_ms: Option<u64>,
     in_flight: u64,
-    /// Whether the last step may start work.
+    /// Whether the work of the last step may start.
     may_start: bool,
 }
 
@@ -52,12 +52,12 @@
 
     fn apply(mut state: Self, step: &Step) -> Self {
         state.may_start = match step {
-            Step::Start => state.begun_ms.is_none(),
-            Step::Nested => state.begun_ms.is_none() || state.in_flight > 0,
+            Step::Start => state.started_ms.is_none(),
+            Step::Nested => state.started_ms.is_none() || state.in_flight > 0,
             _ => false,
         };
         match step {
-            Step::Begin => state.begun_ms = state.begun_ms.or(Some(state.now_ms)),
+            Step::Begin => state.started_ms = state.started_ms.or(Some(state.now_ms)),
             Step::Start | Step::Nested => state.in_flight += u64::from(state.may_start),
             Step::Finish => state.in_flight -= 1,
             Step::Wait(millis) => state.now_ms += millis,
@@ -82,26 +82,28 @@
         step: Step,
     ) -> Self::SystemUnderTest {
         let now = MonotonicTime::from_millis(oracle.now_ms);
-        let expected = if oracle.may_start { StartAnswer::Started } else { StartAnswer::Refused };
+        let expected =
+            if oracle.may_start { StartDecision::Started } else { StartDecision::Refused };
         match step {
             Step::Begin => _ = state.begin(now),
-            Step::Start => assert_eq!(state.started(), expected),
-            Step::Nested => assert_eq!(state.nested_started(), expected),
-            Step::Finish => state.finished(),
+            Step::Start => assert_eq!(state.try_start(), expected),
+            Step::Nested => assert_eq!(state.try_start_nested(), expected),
+            Step::Finish => state.finish(),
             Step::Wait(_) => {}
         }
         let phase = state.phase(now);
-        assert!(before <= phase, "went back from {before} to {phase}");
+        assert!(before <= phase, "phase went backward from {before} to {phase}");
         (state, phase)
     }
 
     fn check_invariants((state, _): &Self::SystemUnderTest, oracle: &Oracle) {
         let now = MonotonicTime::from_millis(oracle.now_ms);
         let notice_ms = DrainSettings::default().notice.as_millis() as u64;
-        let noticed = oracle.begun_ms.is_some_and(|begun| begun + notice_ms <= oracle.now_ms);
-        let expected = match oracle.begun_ms {
+        let notice_passed =
+            oracle.started_ms.is_some_and(|started| started + notice_ms <= oracle.now_ms);
+        let expected = match oracle.started_ms {
             None => DrainPhase::Serving,
-            Some(_) if noticed && oracle.in_flight == 0 => DrainPhase::Drained,
+            Some(_) if notice_passed && oracle.in_flight == 0 => DrainPhase::Drained,
             Some(_) => DrainPhase::Leaving,
         };
         assert_eq!(state.phase(now), expected);
