--- a/crates/coltsfoot-node/src/config/accepted_config.rs
+++ b/crates/coltsfoot-node/src/config/accepted_config.rs
@@ -19,6 +19,6 @@
     /// `document` as `operator` had it accepted at `revision`.
     pub fn new(revision: Revision, operator: OperatorName, document: SchemaDocument) -> Self {
         let content = ContentDigest::of_document(&document);
-        Self { record: RevisionRecord::of_outside(revision, content, operator), document }
+        Self { record: RevisionRecord::of_external(revision, content, operator), document }
     }
 }
--- a/crates/coltsfoot-node/src/config/config_book.rs
+++ b/crates/coltsfoot-node/src/config/config_book.rs
@@ -6,8 +6,8 @@
     event::EventKind,
     id::NodeId,
     revision::{
-        Applied, ChainDigest, ConfigDelta, ConfigState, DeltaFault, HistoryRecord, InForceRecord,
-        RecentHistory, Revision, RevisionRecord, StartGate,
+        ApplyOutcome, ChainDigest, ConfigDelta, ConfigState, DeltaFault, HistoryRecord,
+        InForceRecord, RecentHistory, Revision, RevisionRecord, StartGate,
     },
     schema::SchemaDocument,
 };
@@ -36,11 +36,11 @@
     pub fn new(node: NodeId, peers: &[NodeId], origin: ConfigOrigin) -> Self {
         let mut gate = StartGate::new();
         for peer in peers {
-            gate.ask(*peer);
+            gate.await_peer(*peer);
         }
         let state = match origin {
             ConfigOrigin::Submitted => ConfigState::new(),
-            ConfigOrigin::Outside => ConfigState::with_outside_history(),
+            ConfigOrigin::Outside => ConfigState::with_external_history(),
         };
         let recent = RecentHistory::new(RECENT_REVISIONS);
         let (handed_out, previous) = (Revision::ZERO, Revision::ZERO);
@@ -68,7 +68,7 @@
         delta: Option<&ConfigDelta>,
     ) -> Result<(), DeltaFault> {
         let told = delta.map_or(Revision::ZERO, ConfigDelta::to);
-        self.gate.hear_peer(peer, told);
+        self.gate.record_peer_revision(peer, told);
         let Some(delta) = delta else { return Ok(()) };
         let applied = self.state.apply_delta(delta)?;
         self.note(&applied, &delta.record);
@@ -77,7 +77,7 @@
 
     /// A peer did not answer.
     pub fn give_up(&mut self, peer: NodeId) {
-        self.gate.give_up(peer);
+        self.gate.stop_awaiting(peer);
     }
 
     /// Takes in what the table service holds, `None` if it holds none or the one held here.
@@ -90,17 +90,17 @@
         newest: Option<(&RevisionRecord, &SchemaDocument)>,
     ) -> Result<(), DeltaFault> {
         let Some((record, document)) = newest else {
-            self.gate.hear_store(Revision::ZERO);
+            self.gate.record_store_revision(Revision::ZERO);
             return Ok(());
         };
-        self.gate.hear_store(record.revision);
+        self.gate.record_store_revision(record.revision);
         let applied = self.state.apply_document(record, document)?;
         self.note(&applied, record);
         Ok(())
     }
 
-    fn note(&mut self, applied: &Applied, record: &RevisionRecord) {
-        if let Applied::Raised { revision, .. } = applied {
+    fn note(&mut self, applied: &ApplyOutcome, record: &RevisionRecord) {
+        if let ApplyOutcome::Advanced { revision, .. } = applied {
             self.recent.push(record.clone());
             self.recent.note_in_force(InForceRecord {
                 revision: *revision,
--- a/crates/coltsfoot-node/src/config/config_pulls.rs
+++ b/crates/coltsfoot-node/src/config/config_pulls.rs
@@ -46,26 +46,26 @@
 
     /// `peer` has told that it has `revision` in force.
     pub(super) fn hear(&mut self, peer: NodeId, revision: Revision) {
-        self.plan.hear(peer, revision);
+        self.plan.record_revision(peer, revision);
     }
 
     /// Asks those who are due, where `held` is held.
     pub(super) fn ask_due(&mut self, held: Revision) {
-        while let Some(peer) = self.plan.take_next(self.clock.now(), held) {
+        while let Some(peer) = self.plan.next_peer(self.clock.now(), held) {
             self.open_question(peer, held, Instant::now());
         }
     }
 
     /// Asks `peer` in any case for what changed after `since`, unless it is being asked.
     pub(super) fn ask(&mut self, peer: NodeId, since: Revision, told: Instant) {
-        if self.plan.note_asked(self.clock.now(), peer) {
+        if self.plan.record_request(self.clock.now(), peer) {
             self.open_question(peer, since, told);
         }
     }
 
     /// The next question that ends; `None` when another peer is due.
     pub(super) async fn next(&mut self) -> Option<FinishedPull> {
-        let due = self.plan.next_due().map(|due| self.clock.instant_at(due));
+        let due = self.plan.next_hedge_at().map(|due| self.clock.instant_at(due));
         let hedge = async {
             match due {
                 Some(due) => sleep_until(due.into()).await,
@@ -82,7 +82,7 @@
             pull = ended => pull,
             () = hedge => return None,
         };
-        self.plan.note_ended(pull.peer);
+        self.plan.record_completion(pull.peer);
         Some(pull)
     }
 
--- a/crates/coltsfoot-node/src/config/config_thread.rs
+++ b/crates/coltsfoot-node/src/config/config_thread.rs
@@ -173,11 +173,11 @@
 
     async fn read_head(&mut self) {
         let asked = self.parts.clock.now();
-        let mut reader = HeadReader::new().with_held(self.book.held_chain());
+        let mut reader = HeadReader::new().with_held_chain(self.book.held_chain());
         let mut request = reader.start();
         let newest = loop {
             let reply = self.desk().ask_store(request).await;
-            match reader.take(&reply) {
+            match reader.handle_reply(&reply) {
                 ReaderStep::Send(next) => request = next,
                 ReaderStep::Done(newest) => break newest,
                 ReaderStep::Unavailable => return,
--- a/crates/coltsfoot-node/src/config/submit_desk.rs
+++ b/crates/coltsfoot-node/src/config/submit_desk.rs
@@ -92,7 +92,7 @@
                 }
                 SubmissionStep::Done(result) => break result,
             };
-            step = submission.take(self.ask_store(request).await);
+            step = submission.handle_reply(self.ask_store(request).await);
         };
         match result {
             SubmissionResult::Accepted(record) => {
@@ -119,7 +119,7 @@
         let mut request = reader.start();
         loop {
             let reply = self.ask_store(request).await;
-            match reader.take(&reply) {
+            match reader.handle_reply(&reply) {
                 ReaderStep::Send(next) => request = next,
                 ReaderStep::Done(records) => return config_replies::history(&records),
                 ReaderStep::Unavailable => {
--- a/crates/coltsfoot-slopes/src/slopes/configuration.rs
+++ b/crates/coltsfoot-slopes/src/slopes/configuration.rs
@@ -67,7 +67,7 @@
             if let TableReply::Rows(rows) = &reply {
                 read_bytes += rows.iter().map(|row| row.value.len()).sum::<usize>();
             }
-            step = submission.take(reply);
+            step = submission.handle_reply(reply);
         }
     }
 }
--- a/crates/coltsfootroute/src/revision.rs
+++ b/crates/coltsfootroute/src/revision.rs
@@ -5,7 +5,7 @@
 //! spreads to others as a [`ConfigDelta`]. The records of all revisions form a chain of digests that
 //! [`verify_history`] checks.
 
-mod applied;
+mod apply_outcome;
 mod chain_digest;
 mod changed_names;
 mod config_delta;
@@ -42,7 +42,7 @@
 mod submission_result;
 mod submission_step;
 
-pub use applied::Applied;
+pub use apply_outcome::ApplyOutcome;
 pub use chain_digest::ChainDigest;
 pub use config_delta::ConfigDelta;
 pub use config_entry::ConfigEntry;
--- a/crates/coltsfootroute/src/revision/applied.rs
+++ b/crates/coltsfootroute/src/revision/apply_outcome.rs
@@ -5,9 +5,9 @@
 
 record_type! {
     /// What a document or delta did to a [`ConfigState`](super::ConfigState).
-    pub enum Applied {
+    pub enum ApplyOutcome {
         /// The revision rose.
-        Raised {
+        Advanced {
             /// Revision now in force.
             revision: Revision,
             /// Services added, changed or removed, in order of their names.
--- a/crates/coltsfootroute/src/revision/config_state.rs
+++ b/crates/coltsfootroute/src/revision/config_state.rs
@@ -1,7 +1,7 @@
 //! The configuration that a node has in force.
 
 use super::{
-    Applied, ChainDigest, ConfigDelta, ConfigEntry, ContentDigest, DeltaFault, EntryChange,
+    ApplyOutcome, ChainDigest, ConfigDelta, ConfigEntry, ContentDigest, DeltaFault, EntryChange,
     Revision, RevisionRecord, changed_names::changed_names,
 };
 use crate::{
@@ -32,7 +32,7 @@
     /// Lowest revision since which every change is known; deltas from below it are full snapshots.
     floor: Revision,
     /// Whether revisions come from an outside history, whose records don't name their parents.
-    is_outside: bool,
+    has_external_history: bool,
 }
 
 /// What a document or delta would make of a state.
@@ -52,8 +52,8 @@
     }
 
     /// No configuration yet; revisions are those of another system, which vouches for their history.
-    pub fn with_outside_history() -> Self {
-        Self { is_outside: true, ..Self::default() }
+    pub fn with_external_history() -> Self {
+        Self { has_external_history: true, ..Self::default() }
     }
 
     /// Revision in force; 0 if none.
@@ -102,12 +102,12 @@
         &mut self,
         record: &RevisionRecord,
         document: &SchemaDocument,
-    ) -> Result<Applied, DeltaFault> {
-        if !self.precedes(record)? {
-            return Ok(Applied::AlreadyHeld);
+    ) -> Result<ApplyOutcome, DeltaFault> {
+        if !self.is_superseded_by(record)? {
+            return Ok(ApplyOutcome::AlreadyHeld);
         }
-        let candidate = self.candidate_of_document(record.revision, document);
-        self.adopt(candidate, record)
+        let candidate = self.candidate_from_document(record.revision, document);
+        self.install(candidate, record)
     }
 
     /// What changed after revision `from`: a full snapshot if `from` is 0 or too far back, `None` if
@@ -138,44 +138,44 @@
     /// # Errors
     ///
     /// The delta doesn't fit the revision held, or what would result isn't what its record says.
-    pub fn apply_delta(&mut self, delta: &ConfigDelta) -> Result<Applied, DeltaFault> {
-        if !self.precedes(&delta.record)? {
-            return Ok(Applied::AlreadyHeld);
+    pub fn apply_delta(&mut self, delta: &ConfigDelta) -> Result<ApplyOutcome, DeltaFault> {
+        if !self.is_superseded_by(&delta.record)? {
+            return Ok(ApplyOutcome::AlreadyHeld);
         }
         let held = self.revision();
         if delta.from > held {
             return Err(DeltaFault::Gap { from: delta.from, held });
         }
-        let candidate = self.candidate_of_delta(delta);
-        self.adopt(candidate, &delta.record)
+        let candidate = self.candidate_from_delta(delta);
+        self.install(candidate, &delta.record)
     }
 
     /// Whether the revision in force is lower than that of `record`.
-    fn precedes(&self, record: &RevisionRecord) -> Result<bool, DeltaFault> {
+    fn is_superseded_by(&self, record: &RevisionRecord) -> Result<bool, DeltaFault> {
         let (held, offered) = (self.revision(), record.revision);
         let chain = self.record.as_ref().map_or(ChainDigest::ROOT, |record| record.chain);
         if !record.is_intact() {
             return Err(DeltaFault::Record(offered));
         }
-        let is_other = offered == held && record.chain != chain;
-        let is_next = offered == held.next() && !self.is_outside;
-        let is_stranger = is_next && record.parent != chain;
-        if is_other || is_stranger {
+        let is_other_chain = offered == held && record.chain != chain;
+        let is_next = offered == held.next() && !self.has_external_history;
+        let has_other_parent = is_next && record.parent != chain;
+        if is_other_chain || has_other_parent {
             return Err(DeltaFault::Diverged(offered));
         }
         Ok(held < offered)
     }
 
-    fn candidate_of_document(&self, revision: Revision, document: &SchemaDocument) -> Candidate {
-        let fresh = document.services.iter().map(|service| {
+    fn candidate_from_document(&self, revision: Revision, document: &SchemaDocument) -> Candidate {
+        let entries = document.services.iter().map(|service| {
             let entry = ConfigEntry::new(revision, service.clone());
             let held = self.entries.get(&service.name);
-            let same = held.filter(|held| held.digest == entry.digest).cloned();
-            (service.name.clone(), same.unwrap_or(entry))
+            let unchanged = held.filter(|held| held.digest == entry.digest).cloned();
+            (service.name.clone(), unchanged.unwrap_or(entry))
         });
-        let entries: IndexMap<_, _> = fresh.collect();
+        let entries: IndexMap<_, _> = entries.collect();
         let deployment = document.deployment.clone();
-        let (teams, teams_revision) = self.newer_teams(revision, document.teams.clone());
+        let (teams, teams_revision) = self.updated_teams(revision, document.teams.clone());
         if revision != self.revision().next() {
             // A revision skipped may have changed a service there and back, which can't be seen from here.
             let tombstones = IndexMap::new();
@@ -190,7 +190,7 @@
     }
 
     /// The teams at `revision`, and since when they are so.
-    fn newer_teams(
+    fn updated_teams(
         &self,
         revision: Revision,
         mut teams: Vec<TeamEntry>,
@@ -202,11 +202,11 @@
         (Arc::new(teams), revision)
     }
 
-    fn candidate_of_delta(&self, delta: &ConfigDelta) -> Candidate {
-        let mut candidate = self.base_of_delta(delta);
+    fn candidate_from_delta(&self, delta: &ConfigDelta) -> Candidate {
+        let mut candidate = self.delta_base(delta);
         if let Some(teams) = &delta.teams {
-            let newer = self.newer_teams(delta.to(), teams.clone());
-            (candidate.teams, candidate.teams_revision) = newer;
+            let updated = self.updated_teams(delta.to(), teams.clone());
+            (candidate.teams, candidate.teams_revision) = updated;
         }
         for change in &delta.changes {
             let name = change.name.clone();
@@ -227,12 +227,12 @@
     }
 
     /// What the changes of a delta are laid over: nothing for a snapshot, else the state.
-    fn base_of_delta(&self, delta: &ConfigDelta) -> Candidate {
+    fn delta_base(&self, delta: &ConfigDelta) -> Candidate {
         let deployment = delta.deployment.clone();
         if delta.is_snapshot() {
             // A snapshot doesn't tell what was changed before it.
             let (entries, tombstones) = (IndexMap::new(), IndexMap::new());
-            let (teams, teams_revision) = self.newer_teams(delta.to(), Vec::new());
+            let (teams, teams_revision) = self.updated_teams(delta.to(), Vec::new());
             let floor = delta.to();
             return Candidate { deployment, entries, teams, teams_revision, tombstones, floor };
         }
@@ -243,16 +243,16 @@
     }
 
     /// Puts `candidate` in force if its content is that of `record`.
-    fn adopt(
+    fn install(
         &mut self,
         mut candidate: Candidate,
         record: &RevisionRecord,
-    ) -> Result<Applied, DeltaFault> {
+    ) -> Result<ApplyOutcome, DeltaFault> {
         candidate.entries.sort_unstable_keys();
         if candidate.digest() != record.content {
             return Err(DeltaFault::Content(record.revision));
         }
-        candidate.forget_old_tombstones();
+        candidate.prune_tombstones();
         let changed = changed_names(&self.entries, &candidate.entries, |entry| entry.digest);
         *self = Self {
             record: Some(record.clone()),
@@ -262,9 +262,9 @@
             teams_revision: candidate.teams_revision,
             tombstones: candidate.tombstones,
             floor: candidate.floor,
-            is_outside: self.is_outside,
+            has_external_history: self.has_external_history,
         };
-        Ok(Applied::Raised { revision: record.revision, changed })
+        Ok(ApplyOutcome::Advanced { revision: record.revision, changed })
     }
 }
 
@@ -276,7 +276,7 @@
     }
 
     /// Keeps the tombstones that a delta can still need, and not too many.
-    fn forget_old_tombstones(&mut self) {
+    fn prune_tombstones(&mut self) {
         self.tombstones.sort_by(|_, left, _, right| left.cmp(right));
         while self.tombstones.len() > MAX_TOMBSTONES {
             if let Some((_, revision)) = self.tombstones.shift_remove_index(0) {
--- a/crates/coltsfootroute/src/revision/head_reader.rs
+++ b/crates/coltsfootroute/src/revision/head_reader.rs
@@ -19,7 +19,7 @@
     }
 
     /// Leaves out the row of the revision held: it is by far the larger of the two.
-    pub fn with_held(self, held: Option<ChainDigest>) -> Self {
+    pub fn with_held_chain(self, held: Option<ChainDigest>) -> Self {
         Self { held, ..self }
     }
 
@@ -30,25 +30,25 @@
     }
 
     /// Takes the reply to the last request.
-    pub fn take(&mut self, reply: &TableReply) -> ReaderStep<Option<RevisionRow>> {
+    pub fn handle_reply(&mut self, reply: &TableReply) -> ReaderStep<Option<RevisionRow>> {
         let TableReply::Rows(rows) = reply else {
             return ReaderStep::Unavailable;
         };
         match self.head.take() {
-            None => self.take_head(rows.first()),
-            Some(head) => take_revision(&head, rows.first()),
+            None => self.handle_head(rows.first()),
+            Some(head) => handle_revision(&head, rows.first()),
         }
         .unwrap_or_else(ReaderStep::Faulty)
     }
 
-    fn take_head(
+    fn handle_head(
         &mut self,
         row: Option<&StoredRow>,
     ) -> Result<ReaderStep<Option<RevisionRow>>, RowFault> {
         let Some(row) = row else {
             return Ok(ReaderStep::Done(None));
         };
-        let head: HeadRow = schema_rows::decoded(row)?;
+        let head: HeadRow = schema_rows::decode(row)?;
         if self.held == Some(head.chain) {
             return Ok(ReaderStep::Done(None));
         }
@@ -58,13 +58,13 @@
     }
 }
 
-fn take_revision(
+fn handle_revision(
     head: &HeadRow,
     row: Option<&StoredRow>,
 ) -> Result<ReaderStep<Option<RevisionRow>>, RowFault> {
     let key = schema_rows::revision_key(head.revision);
     let row = row.ok_or_else(|| schema_rows::fault(&key, "missing".to_owned()))?;
-    let revision = schema_rows::decoded_revision(row)?;
+    let revision = schema_rows::decode_revision(row)?;
     if revision.record.chain != head.chain {
         return Err(schema_rows::fault(&key, "not the record that the head names".to_owned()));
     }
--- a/crates/coltsfootroute/src/revision/history_reader.rs
+++ b/crates/coltsfootroute/src/revision/history_reader.rs
@@ -24,31 +24,31 @@
     /// The first request.
     pub fn start(&mut self) -> TableRequest {
         self.records.clear();
-        self.page()
+        self.page_request()
     }
 
     /// Takes the reply to the last request.
-    pub fn take(&mut self, reply: &TableReply) -> ReaderStep<Vec<RevisionRecord>> {
+    pub fn handle_reply(&mut self, reply: &TableReply) -> ReaderStep<Vec<RevisionRecord>> {
         let TableReply::Rows(rows) = reply else {
             return ReaderStep::Unavailable;
         };
-        if let Err(fault) = self.add(rows) {
+        if let Err(fault) = self.append_records(rows) {
             return ReaderStep::Faulty(fault);
         }
         if rows.is_empty() || self.records.len() >= self.limit {
             return ReaderStep::Done(std::mem::take(&mut self.records));
         }
-        ReaderStep::Send(self.page())
+        ReaderStep::Send(self.page_request())
     }
 
-    fn add(&mut self, rows: &[StoredRow]) -> Result<(), RowFault> {
+    fn append_records(&mut self, rows: &[StoredRow]) -> Result<(), RowFault> {
         for row in rows {
-            self.records.push(schema_rows::decoded_revision(row)?.record);
+            self.records.push(schema_rows::decode_revision(row)?.record);
         }
         Ok(())
     }
 
-    fn page(&self) -> TableRequest {
+    fn page_request(&self) -> TableRequest {
         let after = self.records.last().map_or(self.after, |record| record.revision);
         TableRequest::Scan {
             prefix: schema_rows::REVISION_PREFIX.to_owned(),
--- a/crates/coltsfootroute/src/revision/revision_record.rs
+++ b/crates/coltsfootroute/src/revision/revision_record.rs
@@ -43,7 +43,7 @@
 
     /// The record of a revision whose history another system keeps. It names no parent, so that every
     /// node makes the same record of the same revision.
-    pub fn of_outside(revision: Revision, content: ContentDigest, operator: OperatorName) -> Self {
+    pub fn of_external(revision: Revision, content: ContentDigest, operator: OperatorName) -> Self {
         let (parent, chain) = (ChainDigest::ROOT, ChainDigest::ROOT);
         let key = SubmissionKey::new(&format!("outside-{}", revision.0));
         let (wall_ms, changed) = (0, Vec::new());
--- a/crates/coltsfootroute/src/revision/schema_rows.rs
+++ b/crates/coltsfootroute/src/revision/schema_rows.rs
@@ -27,22 +27,22 @@
 }
 
 /// A row's value as stored.
-pub(super) fn encoded(row: &impl Serialize) -> String {
+pub(super) fn encode(row: &impl Serialize) -> String {
     // Rows hold text and numbers only, which always have a JSON form.
     serde_json::to_string(row).expect("a row with a JSON form")
 }
 
 /// A row's value from what is stored.
-pub(super) fn decoded<T: DeserializeOwned>(row: &StoredRow) -> Result<T, RowFault> {
+pub(super) fn decode<T: DeserializeOwned>(row: &StoredRow) -> Result<T, RowFault> {
     serde_json::from_str(&row.value).map_err(|error| fault(&row.key, error.to_string()))
 }
 
 /// A revision's row, with the record checked against the document.
-pub(super) fn decoded_revision(row: &StoredRow) -> Result<RevisionRow, RowFault> {
-    let revision: RevisionRow = decoded(row)?;
-    let is_own = revision_key(revision.record.revision) == row.key;
-    let is_whole = ContentDigest::of_document(&revision.document) == revision.record.content;
-    if is_own && is_whole && revision.record.is_intact() {
+pub(super) fn decode_revision(row: &StoredRow) -> Result<RevisionRow, RowFault> {
+    let revision: RevisionRow = decode(row)?;
+    let is_under_own_key = revision_key(revision.record.revision) == row.key;
+    let matches_content = ContentDigest::of_document(&revision.document) == revision.record.content;
+    if is_under_own_key && matches_content && revision.record.is_intact() {
         Ok(revision)
     } else {
         Err(fault(&row.key, "record and document don't fit together".to_owned()))
--- a/crates/coltsfootroute/src/revision/start_gate.rs
+++ b/crates/coltsfootroute/src/revision/start_gate.rs
@@ -29,24 +29,24 @@
     }
 
     /// `peer` was asked for its revision.
-    pub fn ask(&mut self, peer: NodeId) {
+    pub fn await_peer(&mut self, peer: NodeId) {
         self.awaited.insert(peer);
     }
 
     /// `peer` told its revision, asked or not.
-    pub fn hear_peer(&mut self, peer: NodeId, revision: Revision) {
+    pub fn record_peer_revision(&mut self, peer: NodeId, revision: Revision) {
         self.awaited.swap_remove(&peer);
         self.has_peer_answer = true;
         self.required = self.required.max(revision);
     }
 
     /// `peer` won't answer: it timed out or can't be reached.
-    pub fn give_up(&mut self, peer: NodeId) {
+    pub fn stop_awaiting(&mut self, peer: NodeId) {
         self.awaited.swap_remove(&peer);
     }
 
     /// The table service told its newest revision.
-    pub fn hear_store(&mut self, revision: Revision) {
+    pub fn record_store_revision(&mut self, revision: Revision) {
         self.has_store_answer = true;
         self.required = self.required.max(revision);
     }
@@ -58,9 +58,9 @@
 
     /// Whether a node that holds revision `held` may take work; opens for good when it first may.
     pub fn try_open(&mut self, held: Revision) -> bool {
-        let is_informed =
+        let is_required_known =
             self.has_store_answer || (self.has_peer_answer && self.awaited.is_empty());
-        self.is_open |= is_informed && held > Revision::ZERO && held >= self.required;
+        self.is_open |= is_required_known && held > Revision::ZERO && held >= self.required;
         self.is_open
     }
 }
--- a/crates/coltsfootroute/src/revision/submission.rs
+++ b/crates/coltsfootroute/src/revision/submission.rs
@@ -31,7 +31,7 @@
     /// Failed requests.
     attempts: u32,
     /// Whether a write of this submission may have taken effect or may still do so.
-    is_in_doubt: bool,
+    may_take_effect: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
     ReadHead,
     ReadKey,
     /// Reads the revision that this key was accepted as.
-    ReadOwn(Revision),
+    ReadAccepted(Revision),
     ReadCurrent(Revision),
     /// Reads the revision that the operator expected, to show what changed since.
     ReadExpected(RevisionRow),
@@ -58,7 +58,7 @@
             phase: Phase::ReadHead,
             head: None,
             attempts: 0,
-            is_in_doubt: false,
+            may_take_effect: false,
         }
     }
 
@@ -68,15 +68,15 @@
     }
 
     /// Takes the reply to the last request.
-    pub fn take(&mut self, reply: TableReply) -> SubmissionStep {
+    pub fn handle_reply(&mut self, reply: TableReply) -> SubmissionStep {
         let step = match (reply, self.phase.clone()) {
             (TableReply::Committed, Phase::Write(record)) => {
                 done(SubmissionResult::Accepted(record))
             }
-            (TableReply::Rows(rows), phase) => self.take_rows(rows.first(), phase),
+            (TableReply::Rows(rows), phase) => self.handle_rows(rows.first(), phase),
             (TableReply::Conflict(_), Phase::Write(_)) => self.retry(Phase::ReadHead),
             (reply, Phase::Write(_)) => {
-                self.is_in_doubt |= reply != TableReply::Unavailable;
+                self.may_take_effect |= reply != TableReply::Unavailable;
                 self.retry_later(Phase::ReadHead)
             }
             (_, phase) => self.retry_later(phase),
@@ -84,50 +84,52 @@
         step.unwrap_or_else(|fault| SubmissionStep::Done(SubmissionResult::Faulty(fault)))
     }
 
-    fn take_rows(&mut self, row: Option<&StoredRow>, phase: Phase) -> StepResult {
+    fn handle_rows(&mut self, row: Option<&StoredRow>, phase: Phase) -> StepResult {
         match phase {
-            Phase::ReadHead => self.take_head(row),
-            Phase::ReadKey => self.take_key(row),
-            Phase::ReadOwn(revision) => self.take_own(revision, row),
-            Phase::ReadCurrent(revision) => self.decide(Some(required(revision, row)?)),
+            Phase::ReadHead => self.handle_head(row),
+            Phase::ReadKey => self.handle_key(row),
+            Phase::ReadAccepted(revision) => self.handle_accepted(revision, row),
+            Phase::ReadCurrent(revision) => {
+                self.write_or_conflict(Some(require_revision(revision, row)?))
+            }
             Phase::ReadExpected(current) => {
-                let expected = required(self.request.expected, row)?;
+                let expected = require_revision(self.request.expected, row)?;
                 conflict(Some(current), &expected.document)
             }
             // Rows don't answer a write: whether it took effect is unknown.
             Phase::Write(_) => {
-                self.is_in_doubt = true;
+                self.may_take_effect = true;
                 self.retry_later(Phase::ReadHead)
             }
         }
     }
 
-    fn take_head(&mut self, row: Option<&StoredRow>) -> StepResult {
+    fn handle_head(&mut self, row: Option<&StoredRow>) -> StepResult {
         self.head = match row {
-            Some(row) => Some((row.version, schema_rows::decoded(row)?)),
+            Some(row) => Some((row.version, schema_rows::decode(row)?)),
             None => None,
         };
         Ok(self.enter(Phase::ReadKey))
     }
 
-    fn take_key(&mut self, row: Option<&StoredRow>) -> StepResult {
+    fn handle_key(&mut self, row: Option<&StoredRow>) -> StepResult {
         let Some(row) = row else {
             return match self.head_revision() {
-                Revision::ZERO => self.decide(None),
+                Revision::ZERO => self.write_or_conflict(None),
                 revision => Ok(self.enter(Phase::ReadCurrent(revision))),
             };
         };
-        let own: KeyRow = schema_rows::decoded(row)?;
-        if own.content == self.content {
-            Ok(self.enter(Phase::ReadOwn(own.revision)))
+        let key_row: KeyRow = schema_rows::decode(row)?;
+        if key_row.content == self.content {
+            Ok(self.enter(Phase::ReadAccepted(key_row.revision)))
         } else {
-            done(SubmissionResult::KeyReused(own.revision))
+            done(SubmissionResult::KeyReused(key_row.revision))
         }
     }
 
-    fn take_own(&mut self, revision: Revision, row: Option<&StoredRow>) -> StepResult {
-        let record = required(revision, row)?.record;
-        done(if self.is_in_doubt {
+    fn handle_accepted(&mut self, revision: Revision, row: Option<&StoredRow>) -> StepResult {
+        let record = require_revision(revision, row)?.record;
+        done(if self.may_take_effect {
             SubmissionResult::Accepted(record)
         } else {
             SubmissionResult::AlreadyAccepted(record)
@@ -135,7 +137,7 @@
     }
 
     /// Writes if the newest revision is the one expected.
-    fn decide(&mut self, current: Option<RevisionRow>) -> StepResult {
+    fn write_or_conflict(&mut self, current: Option<RevisionRow>) -> StepResult {
         let (newest, expected) = (self.head_revision(), self.request.expected);
         if newest == expected {
             let record = self.next_record(current.as_ref().map(|row| &row.document));
@@ -173,7 +175,7 @@
     fn retry(&mut self, phase: Phase) -> StepResult {
         self.attempts += 1;
         if self.attempts >= MAX_ATTEMPTS {
-            return done(SubmissionResult::Unresolved { may_take_effect: self.is_in_doubt });
+            return done(SubmissionResult::Unresolved { may_take_effect: self.may_take_effect });
         }
         Ok(self.enter(phase))
     }
@@ -189,7 +191,7 @@
         TableRequest::Read(match phase {
             Phase::ReadHead => schema_rows::head_key(),
             Phase::ReadKey => schema_rows::submission_key(&self.request.key),
-            Phase::ReadOwn(revision) | Phase::ReadCurrent(revision) => {
+            Phase::ReadAccepted(revision) | Phase::ReadCurrent(revision) => {
                 schema_rows::revision_key(*revision)
             }
             Phase::ReadExpected(_) => schema_rows::revision_key(self.request.expected),
@@ -204,13 +206,13 @@
             .map_or(RowCondition::Absent, |(version, _)| RowCondition::Version(*version));
         let key = self.request.key.clone();
         let head = HeadRow { revision: record.revision, chain: record.chain, key };
-        let own = KeyRow { revision: record.revision, content: record.content };
+        let key_row = KeyRow { revision: record.revision, content: record.content };
         let revision =
             RevisionRow { record: record.clone(), document: self.request.document.clone() };
         vec![
             write(schema_rows::head_key(), head_condition, &head),
             write(schema_rows::revision_key(record.revision), RowCondition::Absent, &revision),
-            write(schema_rows::submission_key(&self.request.key), RowCondition::Absent, &own),
+            write(schema_rows::submission_key(&self.request.key), RowCondition::Absent, &key_row),
         ]
     }
 
@@ -224,16 +226,16 @@
 }
 
 fn write(key: RowKey, condition: RowCondition, row: &impl serde::Serialize) -> RowWrite {
-    RowWrite { key, condition, value: Some(schema_rows::encoded(row)) }
+    RowWrite { key, condition, value: Some(schema_rows::encode(row)) }
 }
 
 /// A revision's row that the head or a key row vouches for.
-fn required(revision: Revision, row: Option<&StoredRow>) -> Result<RevisionRow, RowFault> {
+fn require_revision(revision: Revision, row: Option<&StoredRow>) -> Result<RevisionRow, RowFault> {
     let Some(row) = row else {
         let key = schema_rows::revision_key(revision);
         return Err(schema_rows::fault(&key, "missing".to_owned()));
     };
-    schema_rows::decoded_revision(row)
+    schema_rows::decode_revision(row)
 }
 
 fn conflict(current: Option<RevisionRow>, expected: &SchemaDocument) -> StepResult {
--- a/crates/coltsfootroute/tests/integration/freshness/config_world.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/config_world.rs
@@ -199,7 +199,7 @@
     fn hear_peers(&mut self, id: NodeId) {
         for event in mem::take(&mut self.net.nodes[&id].events) {
             if let GossipEffect::RevisionBehind { peer, revision } = event {
-                self.nodes[&id].plan.hear(peer, Revision(revision));
+                self.nodes[&id].plan.record_revision(peer, Revision(revision));
             }
         }
     }
@@ -248,12 +248,12 @@
         let ended: Vec<_> =
             self.nodes[&id].pulls.extract_if(.., |(_, ends)| *ends <= now).collect();
         for (peer, _) in ended {
-            self.nodes[&id].plan.note_ended(peer);
+            self.nodes[&id].plan.record_completion(peer);
         }
         let held = self.nodes[&id].held;
-        while let Some(peer) = self.nodes[&id].plan.take_next(now, held) {
+        while let Some(peer) = self.nodes[&id].plan.next_peer(now, held) {
             if self.is_up(peer) {
-                self.nodes[&id].plan.note_ended(peer);
+                self.nodes[&id].plan.record_completion(peer);
                 self.hold(id, self.nodes[&peer].held);
             } else {
                 self.nodes[&id].pulls.push((peer, now + ANSWER_TIME));
--- a/crates/coltsfootroute/tests/integration/revision/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/revision/fuzz.rs
@@ -1,9 +1,11 @@
 //! Stateful fuzzing of submission and spread against a list of what took effect.
 
-use super::world::{Fate, World, submission_request};
+use super::world::{Delivery, World, submission_request};
 use coltsfootroute::{
     id::NodeId,
-    revision::{Applied, ConfigState, ContentDigest, Revision, SubmissionResult, verify_history},
+    revision::{
+        ApplyOutcome, ConfigState, ContentDigest, Revision, SubmissionResult, verify_history,
+    },
 };
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -15,13 +17,13 @@
 
 /// What may happen; indices are taken modulo what there is.
 #[derive(Clone, Debug)]
-pub enum Happening {
+pub enum FuzzStep {
     /// A new submission, of an operator who believes that the newest revision is `stale` before it.
     Submit { stale: u64, slots: [u32; 3] },
     /// The operator repeats a command, perhaps with another document.
     Repeat { which: usize, same: bool },
     /// One request of a submission under way fares as it may.
-    Step { which: usize, fate: Fate },
+    Step { which: usize, delivery: Delivery },
     /// Delayed writes arrive.
     Late,
     /// A node reads the table service.
@@ -40,57 +42,57 @@
 
 impl ReferenceStateMachine for Script {
     type State = ();
-    type Transition = Happening;
+    type Transition = FuzzStep;
 
     fn init_state() -> BoxedStrategy<()> {
         Just(()).boxed()
     }
 
-    fn transitions((): &()) -> BoxedStrategy<Happening> {
-        let fate = prop_oneof![
-            5 => Just(Fate::Delivered),
-            1 => Just(Fate::Down),
-            1 => Just(Fate::ReplyLost),
-            1 => Just(Fate::Delayed),
+    fn transitions((): &()) -> BoxedStrategy<FuzzStep> {
+        let delivery = prop_oneof![
+            5 => Just(Delivery::Delivered),
+            1 => Just(Delivery::Down),
+            1 => Just(Delivery::ReplyLost),
+            1 => Just(Delivery::Delayed),
         ];
         let node = || 0..NODES;
         let stale = prop_oneof![3 => Just(0u64), 1 => Just(1), 1 => 0..4u64];
         prop_oneof![
             2 => (stale, [0..4u32, 0..4, 0..4])
-                .prop_map(|(stale, slots)| Happening::Submit { stale, slots }),
+                .prop_map(|(stale, slots)| FuzzStep::Submit { stale, slots }),
             1 => (any::<usize>(), any::<bool>())
-                .prop_map(|(which, same)| Happening::Repeat { which, same }),
-            16 => (any::<usize>(), fate).prop_map(|(which, fate)| Happening::Step { which, fate }),
-            1 => Just(Happening::Late),
-            2 => node().prop_map(|node| Happening::Load { node }),
-            4 => (node(), node()).prop_map(|(from, to)| Happening::Ask { from, to }),
-            6 => (any::<usize>(), node()).prop_map(|(which, to)| Happening::Deliver { which, to }),
-            1 => node().prop_map(|node| Happening::Restart { node }),
+                .prop_map(|(which, same)| FuzzStep::Repeat { which, same }),
+            16 => (any::<usize>(), delivery).prop_map(|(which, delivery)| FuzzStep::Step { which, delivery }),
+            1 => Just(FuzzStep::Late),
+            2 => node().prop_map(|node| FuzzStep::Load { node }),
+            4 => (node(), node()).prop_map(|(from, to)| FuzzStep::Ask { from, to }),
+            6 => (any::<usize>(), node()).prop_map(|(which, to)| FuzzStep::Deliver { which, to }),
+            1 => node().prop_map(|node| FuzzStep::Restart { node }),
             8 => (node(), node(), prop::bool::weighted(0.2))
-                .prop_map(|(from, to, is_lost)| Happening::Hear { from, to, is_lost }),
+                .prop_map(|(from, to, is_lost)| FuzzStep::Hear { from, to, is_lost }),
         ]
         .boxed()
     }
 
-    fn apply((): (), _: &Happening) {}
+    fn apply((): (), _: &FuzzStep) {}
 }
 
 /// The system under test, with what was told and seen so far.
 #[derive(Default)]
-pub struct Trial {
+pub struct FuzzRun {
     world: World,
     submitted: usize,
-    heard: [Heard; NODES],
+    observed: [NodeObservation; NODES],
 }
 
-/// What a node has heard of since its start, and whether it takes work.
+/// What a node has observed of since its start, and whether it takes work.
 #[derive(Default)]
-struct Heard {
+struct NodeObservation {
     highest: Revision,
     is_open: bool,
 }
 
-impl Trial {
+impl FuzzRun {
     fn submit(&mut self, key: &str, expected: u64, lines: &str) {
         self.submitted += 1;
         let name = format!("s{}", self.submitted);
@@ -117,10 +119,10 @@
         self.submit(request.key.as_str(), request.expected.0, &text.join("\n"));
     }
 
-    fn step(&mut self, which: usize, fate: Fate) {
+    fn step(&mut self, which: usize, delivery: Delivery) {
         let under_way = self.names(|result| result.is_none());
         if let Some(name) = pick(&under_way, which) {
-            self.world.step(&name, fate);
+            self.world.step(&name, delivery);
         }
     }
 
@@ -134,7 +136,7 @@
         let before = self.world.node(&name).state.revision();
         let applied = self.world.load(&name);
         let newest = self.world.table.commits.len() as u64;
-        self.heard[node].highest = Revision(newest);
+        self.observed[node].highest = Revision(newest);
         assert_eq!(self.world.node(&name).state.revision(), Revision(newest));
         self.check_rise(&name, before, applied.expect("the table service holds one history"));
     }
@@ -158,7 +160,7 @@
         let fits = delta.from <= before && before < delta.to();
         match state.apply_delta(&delta) {
             Ok(applied) => {
-                assert_eq!(fits, applied != Applied::AlreadyHeld, "{before} {delta:?}");
+                assert_eq!(fits, applied != ApplyOutcome::AlreadyHeld, "{before} {delta:?}");
                 self.check_rise(&to, before, applied);
             }
             Err(_) => {
@@ -169,44 +171,44 @@
 
     fn restart(&mut self, node: usize) {
         self.world.nodes.shift_remove(&node.to_string());
-        self.heard[node] = Heard::default();
+        self.observed[node] = NodeObservation::default();
         let started = self.world.node(&node.to_string());
-        (0..NODES).filter(|peer| *peer != node).for_each(|peer| started.gate.ask(id(peer)));
+        (0..NODES).filter(|peer| *peer != node).for_each(|peer| started.gate.await_peer(id(peer)));
     }
 
     fn hear(&mut self, from: usize, to: usize, is_lost: bool) {
         let revision = self.world.node(&from.to_string()).state.revision();
         let node = self.world.node(&to.to_string());
         if is_lost {
-            node.gate.give_up(id(from));
+            node.gate.stop_awaiting(id(from));
         } else {
-            node.gate.hear_peer(id(from), revision);
-            self.heard[to].highest = self.heard[to].highest.max(revision);
+            node.gate.record_peer_revision(id(from), revision);
+            self.observed[to].highest = self.observed[to].highest.max(revision);
         }
     }
 
-    /// A gate opens only at a revision not lower than any heard of since the start.
+    /// A gate opens only at a revision not lower than any observed of since the start.
     fn try_gates(&mut self) {
-        for (index, heard) in self.heard.iter_mut().enumerate() {
+        for (index, observed) in self.observed.iter_mut().enumerate() {
             let Some(node) = self.world.nodes.get_mut(&index.to_string()) else {
                 continue;
             };
             let held = node.state.revision();
             let is_open = node.gate.try_open(held);
-            if is_open && !heard.is_open {
-                assert!(held > Revision::ZERO && held >= heard.highest, "opened at {held}");
+            if is_open && !observed.is_open {
+                assert!(held > Revision::ZERO && held >= observed.highest, "opened at {held}");
             }
-            assert!(is_open || !heard.is_open, "closed again");
-            heard.is_open = is_open;
+            assert!(is_open || !observed.is_open, "closed again");
+            observed.is_open = is_open;
         }
     }
 
     /// A state changes only upwards, and says so.
-    fn check_rise(&mut self, node: &str, before: Revision, applied: Applied) {
+    fn check_rise(&mut self, node: &str, before: Revision, applied: ApplyOutcome) {
         let after = self.world.node(node).state.revision();
         match applied {
-            Applied::Raised { revision, .. } => assert!(before < after && after == revision),
-            Applied::AlreadyHeld => assert_eq!(before, after),
+            ApplyOutcome::Advanced { revision, .. } => assert!(before < after && after == revision),
+            ApplyOutcome::AlreadyHeld => assert_eq!(before, after),
         }
     }
 
@@ -326,7 +328,7 @@
     names.get(which.checked_rem(names.len())?).cloned()
 }
 
-impl StateMachineTest for Trial {
+impl StateMachineTest for FuzzRun {
     type SystemUnderTest = Self;
     type Reference = Script;
 
@@ -334,28 +336,28 @@
         Self::default()
     }
 
-    fn apply(mut trial: Self, (): &(), happening: Happening) -> Self {
-        match happening {
-            Happening::Submit { stale, slots } => trial.submit_new(stale, slots),
-            Happening::Repeat { which, same } => trial.repeat(which, same),
-            Happening::Step { which, fate } => trial.step(which, fate),
-            Happening::Late => drop(trial.world.deliver_delayed()),
-            Happening::Load { node } => trial.load(node),
-            Happening::Ask { from, to } => trial.ask(from, to),
-            Happening::Deliver { which, to } => trial.deliver(which, to),
-            Happening::Restart { node } => trial.restart(node),
-            Happening::Hear { from, to, is_lost } => trial.hear(from, to, is_lost),
+    fn apply(mut run: Self, (): &(), step: FuzzStep) -> Self {
+        match step {
+            FuzzStep::Submit { stale, slots } => run.submit_new(stale, slots),
+            FuzzStep::Repeat { which, same } => run.repeat(which, same),
+            FuzzStep::Step { which, delivery } => run.step(which, delivery),
+            FuzzStep::Late => drop(run.world.deliver_delayed()),
+            FuzzStep::Load { node } => run.load(node),
+            FuzzStep::Ask { from, to } => run.ask(from, to),
+            FuzzStep::Deliver { which, to } => run.deliver(which, to),
+            FuzzStep::Restart { node } => run.restart(node),
+            FuzzStep::Hear { from, to, is_lost } => run.hear(from, to, is_lost),
         }
-        trial.try_gates();
-        trial
+        run.try_gates();
+        run
     }
 
-    fn check_invariants(trial: &Self, (): &()) {
-        trial.check();
+    fn check_invariants(run: &Self, (): &()) {
+        run.check();
     }
 
-    fn teardown(trial: Self, (): ()) {
-        trial.settle();
+    fn teardown(run: Self, (): ()) {
+        run.settle();
     }
 }
 
@@ -363,5 +365,5 @@
     #![proptest_config(fuzz_config(64, SEED))]
 
     #[test]
-    fn submission_and_spread_follow_the_oracle(sequential 1..320 => Trial);
+    fn submission_and_spread_follow_the_oracle(sequential 1..320 => FuzzRun);
 }
--- a/crates/coltsfootroute/tests/integration/revision/head.rs
+++ b/crates/coltsfootroute/tests/integration/revision/head.rs
@@ -6,11 +6,11 @@
 
 /// Requests sent, and whether a configuration was read.
 fn read(world: &mut World, held: Option<ChainDigest>) -> (usize, bool) {
-    let mut reader = HeadReader::new().with_held(held);
+    let mut reader = HeadReader::new().with_held_chain(held);
     let mut request = reader.start();
     let mut requests = 1;
     loop {
-        match reader.take(&world.table.execute(&request)) {
+        match reader.handle_reply(&world.table.execute(&request)) {
             ReaderStep::Send(next) => request = next,
             ReaderStep::Done(row) => return (requests, row.is_some()),
             other => panic!("{other:?}"),
--- a/crates/coltsfootroute/tests/integration/revision/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/revision/scenarios.rs
@@ -3,10 +3,10 @@
 //! Directives: `submit`, `step`, `run`, `late`, `load`, `delta`, `deliver`, `restart`, `gate`, `show`,
 //! `history`. Rewrite the expectations with `REWRITE=1`, then read them.
 
-use super::world::{Fate, World, submission_request};
+use super::world::{Delivery, World, submission_request};
 use coltsfootroute::{
     id::NodeId,
-    revision::{Applied, DeltaFault, Revision, SubmissionResult, verify_history},
+    revision::{ApplyOutcome, DeltaFault, Revision, SubmissionResult, verify_history},
     table::{TableReply, TableRequest},
 };
 use datadriven::{DataDrivenError, TestCase, walk_exclusive};
@@ -71,15 +71,15 @@
 
 fn step(world: &mut World, case: &mut TestCase) -> Result<String, DataDrivenError> {
     let name: String = case.take_arg("name")?;
-    let fate = match case.try_take_arg::<String>("fate")?.as_deref() {
-        None => Fate::Delivered,
-        Some("down") => Fate::Down,
-        Some("reply-lost") => Fate::ReplyLost,
-        Some("delayed") => Fate::Delayed,
+    let delivery = match case.try_take_arg::<String>("fate")?.as_deref() {
+        None => Delivery::Delivered,
+        Some("down") => Delivery::Down,
+        Some("reply-lost") => Delivery::ReplyLost,
+        Some("delayed") => Delivery::Delayed,
         Some(other) => panic!("unknown fate {other}"),
     };
     for _ in 0..case.try_take_arg("times")?.unwrap_or(1) {
-        world.step(&name, fate);
+        world.step(&name, delivery);
     }
     Ok(state_of(world, &name))
 }
@@ -101,19 +101,19 @@
 
 fn gate(world: &mut World, case: &mut TestCase) -> Result<String, DataDrivenError> {
     let node: String = case.take_arg("node")?;
-    let heard = case.try_take_arg::<u64>("hears")?;
+    let observed = case.try_take_arg::<u64>("hears")?;
     let port = |peer: u16| NodeId(([127, 0, 0, 1], peer).into());
     let (asks, gives_up) = (case.try_take_arg("asks")?, case.try_take_arg("gives-up")?);
     let peer = case.try_take_arg("peer")?;
     let node = world.node(&node);
     if let Some(peer) = asks {
-        node.gate.ask(port(peer));
+        node.gate.await_peer(port(peer));
     }
     if let Some(peer) = gives_up {
-        node.gate.give_up(port(peer));
+        node.gate.stop_awaiting(port(peer));
     }
-    if let (Some(peer), Some(revision)) = (peer, heard) {
-        node.gate.hear_peer(port(peer), Revision(revision));
+    if let (Some(peer), Some(revision)) = (peer, observed) {
+        node.gate.record_peer_revision(port(peer), Revision(revision));
     }
     let is_open = node.gate.try_open(node.state.revision());
     let state = if is_open { "open" } else { "closed" };
@@ -174,13 +174,13 @@
     }
 }
 
-fn shown_applied(applied: Result<Applied, DeltaFault>) -> String {
+fn shown_applied(applied: Result<ApplyOutcome, DeltaFault>) -> String {
     match applied {
-        Ok(Applied::Raised { revision, changed }) => {
+        Ok(ApplyOutcome::Advanced { revision, changed }) => {
             let changed: Vec<_> = changed.iter().map(|name| name.as_str()).collect();
             format!("raised to {revision}: {}", changed.join(" "))
         }
-        Ok(Applied::AlreadyHeld) => "already held".to_owned(),
+        Ok(ApplyOutcome::AlreadyHeld) => "already held".to_owned(),
         Err(fault) => fault.to_string(),
     }
 }
--- a/crates/coltsfootroute/tests/integration/revision/state.rs
+++ b/crates/coltsfootroute/tests/integration/revision/state.rs
@@ -4,8 +4,8 @@
 use coltsfootroute::{
     name::OperatorName,
     revision::{
-        Applied, ChainDigest, ConfigState, ContentDigest, DeltaFault, MAX_TOMBSTONES, Revision,
-        RevisionDraft, RevisionRecord, SubmissionKey,
+        ApplyOutcome, ChainDigest, ConfigState, ContentDigest, DeltaFault, MAX_TOMBSTONES,
+        Revision, RevisionDraft, RevisionRecord, SubmissionKey,
     },
 };
 
@@ -71,7 +71,7 @@
     let applied = state.apply_document(&record(5, ChainDigest::ROOT, lines), &document(lines));
 
     let delta = state.delta_since(Revision(3)).expect("newer");
-    assert!(matches!(applied, Ok(Applied::Raised { changed, .. }) if changed.len() == 1));
+    assert!(matches!(applied, Ok(ApplyOutcome::Advanced { changed, .. }) if changed.len() == 1));
     assert_eq!((delta.from, delta.changes.len()), (Revision::ZERO, 2));
 }
 
@@ -104,17 +104,17 @@
 fn an_outside_history_may_skip_revisions_and_never_goes_back() {
     let outside = |revision: u64, lines: &str| {
         let content = ContentDigest::of_document(&document(lines));
-        RevisionRecord::of_outside(Revision(revision), content, OperatorName::new("platform"))
+        RevisionRecord::of_external(Revision(revision), content, OperatorName::new("platform"))
     };
-    let mut state = ConfigState::with_outside_history();
+    let mut state = ConfigState::with_external_history();
 
     for (revision, lines) in [(4, "licences 30"), (5, "licences 40"), (9, "licences 50")] {
         let applied = state.apply_document(&outside(revision, lines), &document(lines));
-        assert!(matches!(applied, Ok(Applied::Raised { .. })), "{applied:?}");
+        assert!(matches!(applied, Ok(ApplyOutcome::Advanced { .. })), "{applied:?}");
     }
     let late = state.apply_document(&outside(5, "licences 40"), &document("licences 40"));
 
-    assert_eq!(late, Ok(Applied::AlreadyHeld));
+    assert_eq!(late, Ok(ApplyOutcome::AlreadyHeld));
     assert_eq!(state.document(), document("licences 50"));
 }
 
@@ -122,16 +122,16 @@
 fn an_outside_history_travels_in_deltas() {
     let outside = |revision: u64, lines: &str| {
         let content = ContentDigest::of_document(&document(lines));
-        RevisionRecord::of_outside(Revision(revision), content, OperatorName::new("platform"))
+        RevisionRecord::of_external(Revision(revision), content, OperatorName::new("platform"))
     };
     let (mut source, mut state) =
-        (ConfigState::with_outside_history(), ConfigState::with_outside_history());
+        (ConfigState::with_external_history(), ConfigState::with_external_history());
     let _ = source.apply_document(&outside(4, "licences 30"), &document("licences 30"));
     let _ = state.apply_document(&outside(4, "licences 30"), &document("licences 30"));
     let _ = source.apply_document(&outside(5, "licences 40"), &document("licences 40"));
 
     let applied = state.apply_delta(&source.delta_since(state.revision()).expect("newer"));
 
-    assert!(matches!(applied, Ok(Applied::Raised { .. })), "{applied:?}");
+    assert!(matches!(applied, Ok(ApplyOutcome::Advanced { .. })), "{applied:?}");
     assert_eq!(state.document(), document("licences 40"));
 }
--- a/crates/coltsfootroute/tests/integration/revision/teams.rs
+++ b/crates/coltsfootroute/tests/integration/revision/teams.rs
@@ -26,12 +26,12 @@
 fn apply(state: &mut ConfigState, revision: u64, document: &SchemaDocument) {
     let content = ContentDigest::of_document(document);
     let record =
-        RevisionRecord::of_outside(Revision(revision), content, OperatorName::new("amina"));
+        RevisionRecord::of_external(Revision(revision), content, OperatorName::new("amina"));
     state.apply_document(&record, document).expect("it follows");
 }
 
 fn state_of(documents: &[SchemaDocument]) -> ConfigState {
-    let mut state = ConfigState::with_outside_history();
+    let mut state = ConfigState::with_external_history();
     for (index, document) in documents.iter().enumerate() {
         apply(&mut state, index as u64 + 1, document);
     }
@@ -92,7 +92,7 @@
     const NAMES: [&str; 4] = ["red", "blue", "green", "amber"];
     for seed in 0..100 {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let mut nodes = vec![ConfigState::with_outside_history(); 4];
+        let mut nodes = vec![ConfigState::with_external_history(); 4];
         for revision in 1..=20 {
             let teams: Vec<_> = NAMES.into_iter().filter(|_| rng.random_bool(0.5)).collect();
             let document = document(rng.random_range(1..3), &teams);
--- a/crates/coltsfootroute/tests/integration/revision/world.rs
+++ b/crates/coltsfootroute/tests/integration/revision/world.rs
@@ -4,7 +4,7 @@
 use coltsfootroute::{
     name::OperatorName,
     revision::{
-        Applied, ConfigDelta, ConfigState, DeltaFault, HeadReader, HistoryReader, ReaderStep,
+        ApplyOutcome, ConfigDelta, ConfigState, DeltaFault, HeadReader, HistoryReader, ReaderStep,
         Revision, RevisionRecord, StartGate, Submission, SubmissionKey, SubmissionRequest,
         SubmissionResult, SubmissionStep,
     },
@@ -15,7 +15,7 @@
 
 /// How one request to the table service fares.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
+pub enum Delivery {
     Delivered,
     /// Refused, provably not carried out.
     Down,
@@ -91,20 +91,20 @@
     }
 
     /// Carries one request of a submission; nothing if it is done.
-    pub fn step(&mut self, name: &str, fate: Fate) {
+    pub fn step(&mut self, name: &str, delivery: Delivery) {
         let runner = &mut self.runners[name];
         let Some(request) = runner.next.take() else {
             return;
         };
         runner.writes += usize::from(matches!(request, TableRequest::Transact(_)));
-        let reply = carry(&mut self.table, &mut self.delayed, request, fate);
-        let step = runner.submission.take(reply);
+        let reply = deliver(&mut self.table, &mut self.delayed, request, delivery);
+        let step = runner.submission.handle_reply(reply);
         runner.follow(step);
     }
 
     pub fn run(&mut self, name: &str) {
         while self.runners[name].result.is_none() {
-            self.step(name, Fate::Delivered);
+            self.step(name, Delivery::Delivered);
         }
     }
 
@@ -119,11 +119,11 @@
     }
 
     /// A node reads the newest configuration from the table service.
-    pub fn load(&mut self, name: &str) -> Result<Applied, DeltaFault> {
+    pub fn load(&mut self, name: &str) -> Result<ApplyOutcome, DeltaFault> {
         let mut reader = HeadReader::new();
         let mut request = reader.start();
         let row = loop {
-            match reader.take(&self.table.execute(&request)) {
+            match reader.handle_reply(&self.table.execute(&request)) {
                 ReaderStep::Send(next) => request = next,
                 ReaderStep::Done(row) => break row,
                 other => panic!("{other:?}"),
@@ -131,9 +131,9 @@
         };
         let node = self.node(name);
         let Some(row) = row else {
-            return Ok(Applied::AlreadyHeld);
+            return Ok(ApplyOutcome::AlreadyHeld);
         };
-        node.gate.hear_store(row.record.revision);
+        node.gate.record_store_revision(row.record.revision);
         node.state.apply_document(&row.record, &row.document)
     }
 
@@ -141,7 +141,7 @@
         let mut reader = HistoryReader::new(Revision::ZERO, usize::MAX);
         let mut request = reader.start();
         loop {
-            match reader.take(&self.table.execute(&request)) {
+            match reader.handle_reply(&self.table.execute(&request)) {
                 ReaderStep::Send(next) => request = next,
                 ReaderStep::Done(records) => return records,
                 other => panic!("{other:?}"),
@@ -161,20 +161,20 @@
     }
 }
 
-fn carry(
+fn deliver(
     table: &mut FakeTable,
     delayed: &mut Vec<TableRequest>,
     request: TableRequest,
-    fate: Fate,
+    delivery: Delivery,
 ) -> TableReply {
-    match fate {
-        Fate::Delivered => table.execute(&request),
-        Fate::Down => TableReply::Unavailable,
-        Fate::ReplyLost => {
+    match delivery {
+        Delivery::Delivered => table.execute(&request),
+        Delivery::Down => TableReply::Unavailable,
+        Delivery::ReplyLost => {
             table.execute(&request);
             TableReply::Uncertain
         }
-        Fate::Delayed => {
+        Delivery::Delayed => {
             if matches!(request, TableRequest::Transact(_)) {
                 delayed.push(request);
             }
