--- a/crates/coltsfootroute/src/revision.rs
+++ b/crates/coltsfootroute/src/revision.rs
@@ -1,9 +1,9 @@
-//! Configuration revisions: submission, history, spread.
+//! Configuration revisions: submission, history and propagation between nodes.
 //!
-//! The whole schema has one revision, which rises by 1 with each accepted submission. A [`Submission`]
-//! writes it to the table service in one transaction; a [`ConfigState`] is what one node has in force and
-//! spreads to others as a [`ConfigDelta`]. The records of all revisions form a chain of digests that
-//! [`verify_history`] checks.
+//! The whole schema has one revision number, which increases by 1 with each accepted submission. A
+//! [`Submission`] writes the new revision to the table service in one transaction. A [`ConfigState`] holds the
+//! configuration in force on one node and sends changes to other nodes as a [`ConfigDelta`]. The records of
+//! all revisions form a hash chain that [`verify_history`] checks.
 
 mod apply_outcome;
 mod chain_digest;
@@ -77,5 +77,5 @@
 pub use submission_result::SubmissionResult;
 pub use submission_step::SubmissionStep;
 
-/// Request header of a submission: the operator on whose behalf it is made.
+/// Request header that names the operator on whose behalf a submission is made.
 pub const OPERATOR_HEADER: &str = "coltsfoot-operator";
--- a/crates/coltsfootroute/src/revision/changed_names.rs
+++ b/crates/coltsfootroute/src/revision/changed_names.rs
@@ -1,10 +1,10 @@
-//! Services that differ between two configurations.
+//! Names of the services that differ between two configurations.
 
 use super::ContentDigest;
 use crate::name::ServiceName;
 use indexmap::IndexMap;
 
-/// Names of the services that are only in one of `old` and `new`, or whose digests differ; sorted.
+/// Returns the sorted names of the services that are in only one of `old` and `new`, or whose digests differ.
 pub(super) fn changed_names<T>(
     old: &IndexMap<ServiceName, T>,
     new: &IndexMap<ServiceName, T>,
--- a/crates/coltsfootroute/src/revision/config_entry.rs
+++ b/crates/coltsfootroute/src/revision/config_entry.rs
@@ -1,15 +1,15 @@
-//! A service's configuration in force.
+//! Configuration of one service that a node has in force.
 
 use super::{ContentDigest, Revision};
 use crate::schema::ServiceEntry;
 use std::sync::Arc;
 
 record_type! {
-    /// One service as a node has it in force. Cheap to clone.
+    /// Configuration of one service that a node has in force. Cheap to clone.
     pub struct ConfigEntry {
-        /// A revision not earlier than the last one that changed the service; deltas rely on it.
+        /// Upper bound of the last revision that changed the service; deltas select changes by it.
         pub revision: Revision,
-        /// The service.
+        /// Declaration of the service.
         pub service: Arc<ServiceEntry>,
         /// Digest of the service.
         pub digest: ContentDigest,
@@ -17,7 +17,7 @@
 }
 
 impl ConfigEntry {
-    /// `service` as last changed at `revision`.
+    /// Creates an entry for `service`, last changed at `revision`.
     pub fn new(revision: Revision, service: ServiceEntry) -> Self {
         let digest = ContentDigest::of_service(&service);
         Self { revision, service: Arc::new(service), digest }
--- a/crates/coltsfootroute/src/revision/config_state.rs
+++ b/crates/coltsfootroute/src/revision/config_state.rs
@@ -11,31 +11,32 @@
 use indexmap::IndexMap;
 use std::sync::Arc;
 
-/// Most removed services remembered. Deltas from before the oldest one forgotten become full snapshots.
+/// Maximum number of removed services that a state keeps as tombstones. A delta from a revision before the newest
+/// discarded tombstone becomes a full snapshot.
 pub const MAX_TOMBSTONES: usize = 1_024;
 
-/// What one node has in force. Its revision only rises: whatever arrives late, twice or in any order
-/// changes nothing or is refused whole. Cheap to clone.
+/// Configuration that one node has in force. Its revision never decreases: an input that arrives late, twice or out
+/// of order either changes nothing or is rejected as a whole. Cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigState {
-    /// Record of the revision in force; `None` before the first.
+    /// Record of the revision in force; `None` before the first revision.
     record: Option<RevisionRecord>,
     deployment: String,
-    /// Services, in order of their names.
+    /// Services, sorted by name.
     entries: IndexMap<ServiceName, ConfigEntry>,
-    /// Teams, in order of their names.
+    /// Teams, sorted by name.
     teams: Arc<Vec<TeamEntry>>,
-    /// A revision not earlier than the last one that changed a team.
+    /// Upper bound of the last revision that changed a team.
     teams_revision: Revision,
-    /// Services removed after `floor`, with the revision that removed them, oldest first.
+    /// Services removed after revision `floor`, with the revision that removed each, oldest first.
     tombstones: IndexMap<ServiceName, Revision>,
-    /// Lowest revision since which every change is known; deltas from below it are full snapshots.
+    /// Lowest revision after which every change is known. A delta from a lower revision is a full snapshot.
     floor: Revision,
-    /// Whether revisions come from an outside history, whose records don't name their parents.
+    /// Whether the history is kept by another system, whose records don't name their parents.
     has_external_history: bool,
 }
 
-/// What a document or delta would make of a state.
+/// Contents of the state that a document or delta would produce, not yet checked against the record's digest.
 struct Candidate {
     deployment: String,
     entries: IndexMap<ServiceName, ConfigEntry>,
@@ -46,58 +47,59 @@
 }
 
 impl ConfigState {
-    /// No configuration, revision 0.
+    /// Creates a state without a configuration, at revision 0.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// No configuration yet; revisions are those of another system, which vouches for their history.
+    /// Creates a state without a configuration, whose revisions come from another system. That system is responsible
+    /// for the integrity of their history.
     pub fn with_external_history() -> Self {
         Self { has_external_history: true, ..Self::default() }
     }
 
-    /// Revision in force; 0 if none.
+    /// Returns the revision in force; 0 if there is none.
     pub fn revision(&self) -> Revision {
         self.record.as_ref().map_or(Revision::ZERO, |record| record.revision)
     }
 
-    /// Record of the revision in force.
+    /// Returns the record of the revision in force; `None` before the first revision.
     pub fn record(&self) -> Option<&RevisionRecord> {
         self.record.as_ref()
     }
 
-    /// Name of the deployment; empty at revision 0.
+    /// Returns the name of the deployment; empty at revision 0.
     pub fn deployment(&self) -> &str {
         &self.deployment
     }
 
-    /// The service called `name`.
+    /// Returns the service called `name`; `None` if the configuration has none.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceEntry> {
         self.entries.get(name).map(|entry| &*entry.service)
     }
 
-    /// All services, in order of their names.
+    /// Returns all services, sorted by name.
     pub fn entries(&self) -> impl Iterator<Item = &ConfigEntry> {
         self.entries.values()
     }
 
-    /// The teams, in order of their names.
+    /// Returns the teams, sorted by name.
     pub fn teams(&self) -> &[TeamEntry] {
         &self.teams
     }
 
-    /// The whole configuration as a document, services and teams in order of their names.
+    /// Returns the whole configuration as a document, with services and teams sorted by name.
     pub fn document(&self) -> SchemaDocument {
         let services = self.entries().map(|entry| (*entry.service).clone()).collect();
         let teams = (*self.teams).clone();
         SchemaDocument { deployment: self.deployment.clone(), services, teams }
     }
 
-    /// Puts a whole document in force, as read from the table service.
+    /// Puts a whole document, as read from the table service, in force.
     ///
     /// # Errors
     ///
-    /// The record isn't that of the document, isn't intact or belongs to another history.
+    /// Returns a [`DeltaFault`] if the record doesn't match the document, isn't intact or belongs to another history.
     pub fn apply_document(
         &mut self,
         record: &RevisionRecord,
@@ -110,8 +112,8 @@
         self.install(candidate, record)
     }
 
-    /// What changed after revision `from`: a full snapshot if `from` is 0 or too far back, `None` if
-    /// nothing newer is held.
+    /// Returns the changes after revision `from`: a full snapshot if `from` is 0 or the changes since
+    /// `from` are no longer known, `None` if the state holds nothing newer.
     pub fn delta_since(&self, from: Revision) -> Option<ConfigDelta> {
         let record = self.record.clone().filter(|record| record.revision > from)?;
         let from = if from < self.floor { Revision::ZERO } else { from };
@@ -133,11 +135,12 @@
         Some(ConfigDelta { from, record, deployment: self.deployment.clone(), changes, teams })
     }
 
-    /// Applies a delta from a peer, whole or not at all.
+    /// Applies a delta from a peer atomically.
     ///
     /// # Errors
     ///
-    /// The delta doesn't fit the revision held, or what would result isn't what its record says.
+    /// Returns a [`DeltaFault`] if the delta starts after the revision held, if its record isn't intact or belongs to
+    /// another history, or if the resulting content doesn't match the record.
     pub fn apply_delta(&mut self, delta: &ConfigDelta) -> Result<ApplyOutcome, DeltaFault> {
         if !self.is_superseded_by(&delta.record)? {
             return Ok(ApplyOutcome::AlreadyHeld);
@@ -150,7 +153,11 @@
         self.install(candidate, &delta.record)
     }
 
-    /// Whether the revision in force is lower than that of `record`.
+    /// Returns whether the revision in force is lower than that of `record`.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`DeltaFault`] if `record` isn't intact or belongs to another history.
     fn is_superseded_by(&self, record: &RevisionRecord) -> Result<bool, DeltaFault> {
         let (held, offered) = (self.revision(), record.revision);
         let chain = self.record.as_ref().map_or(ChainDigest::ROOT, |record| record.chain);
@@ -177,7 +184,8 @@
         let deployment = document.deployment.clone();
         let (teams, teams_revision) = self.updated_teams(revision, document.teams.clone());
         if revision != self.revision().next() {
-            // A revision skipped may have changed a service there and back, which can't be seen from here.
+            // A skipped revision may have changed a service and a later one changed it back. Comparing the two
+            // documents doesn't show that, so the changes before `revision` are unknown.
             let tombstones = IndexMap::new();
             let floor = revision;
             return Candidate { deployment, entries, teams, teams_revision, tombstones, floor };
@@ -189,7 +197,7 @@
         Candidate { deployment, entries, teams, teams_revision, tombstones, floor }
     }
 
-    /// The teams at `revision`, and since when they are so.
+    /// Returns the teams at `revision`, sorted by name, and the revision that last changed them.
     fn updated_teams(
         &self,
         revision: Revision,
@@ -226,11 +234,11 @@
         candidate
     }
 
-    /// What the changes of a delta are laid over: nothing for a snapshot, else the state.
+    /// Returns the base to which the changes of a delta are applied: an empty one for a snapshot, else the state.
     fn delta_base(&self, delta: &ConfigDelta) -> Candidate {
         let deployment = delta.deployment.clone();
         if delta.is_snapshot() {
-            // A snapshot doesn't tell what was changed before it.
+            // A snapshot doesn't contain the revisions of earlier changes.
             let (entries, tombstones) = (IndexMap::new(), IndexMap::new());
             let (teams, teams_revision) = self.updated_teams(delta.to(), Vec::new());
             let floor = delta.to();
@@ -242,7 +250,11 @@
         Candidate { deployment, entries, teams, teams_revision, tombstones, floor }
     }
 
-    /// Puts `candidate` in force if its content is that of `record`.
+    /// Puts `candidate` in force if its content matches `record`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`DeltaFault::Content`] if it doesn't.
     fn install(
         &mut self,
         mut candidate: Candidate,
@@ -275,7 +287,8 @@
         ContentDigest::of_parts(&self.deployment, &digests, &self.teams)
     }
 
-    /// Keeps the tombstones that a delta can still need, and not too many.
+    /// Drops the oldest tombstones beyond [`MAX_TOMBSTONES`], raises `floor` accordingly, and drops the tombstones that
+    /// no delta can need.
     fn prune_tombstones(&mut self) {
         self.tombstones.sort_by(|_, left, _, right| left.cmp(right));
         while self.tombstones.len() > MAX_TOMBSTONES {
--- a/crates/coltsfootroute/src/revision/conflict_body.rs
+++ b/crates/coltsfootroute/src/revision/conflict_body.rs
@@ -1,18 +1,18 @@
-//! Body of a conflict.
+//! Response body of a conflicting submission.
 
 use super::RevisionRecord;
 use crate::schema::SchemaDiff;
 
 record_type! {
-    /// Answer 409 to a submission. Clients ignore fields that they don't know.
+    /// Body of a 409 response to a submission. Clients ignore unknown fields.
     #[derive(serde::Serialize, serde::Deserialize)]
     pub struct ConflictBody {
-        /// Why, in words.
+        /// Human-readable reason.
         pub reason: String,
-        /// Record of the newest revision, if it is known and there is one.
+        /// Record of the newest revision; `None` if there is none or it is unknown.
         #[serde(default)]
         pub current: Option<RevisionRecord>,
-        /// What was changed between the revision expected and the newest.
+        /// Changes from the expected revision to the newest.
         #[serde(default)]
         pub diff: SchemaDiff,
     }
--- a/crates/coltsfootroute/src/revision/content_digest.rs
+++ b/crates/coltsfootroute/src/revision/content_digest.rs
@@ -1,4 +1,4 @@
-//! Digest of a configuration.
+//! Digest of the content of a configuration.
 
 use super::digest_macros::digest_type;
 use crate::{
@@ -7,21 +7,21 @@
 };
 
 digest_type! {
-    /// Digest of what a configuration says, whatever the order of its services.
+    /// Digest of the content of a configuration, independent of the order of its services and teams.
     ///
-    /// Of a service: SHA-256 of its compact JSON. Of a whole configuration: SHA-256 of the compact JSON
-    /// `[deployment, [[name, digest of the service], …]]`, services in order of their names; where there are teams, a third
-    /// entry lists them, in order of theirs.
+    /// For a service: SHA-256 of its compact JSON. For a whole configuration: SHA-256 of the compact JSON
+    /// `[deployment, [[name, digest of the service], …]]`, with services sorted by name. If there are teams, a
+    /// third entry lists them, sorted by name.
     ContentDigest
 }
 
 impl ContentDigest {
-    /// Digest of one service.
+    /// Returns the digest of one service.
     pub fn of_service(service: &ServiceEntry) -> Self {
         Self::of_json(service)
     }
 
-    /// Digest of a whole document.
+    /// Returns the digest of a whole document.
     pub fn of_document(document: &SchemaDocument) -> Self {
         let digests =
             document.services.iter().map(|service| (&service.name, Self::of_service(service)));
@@ -32,7 +32,8 @@
         Self::of_parts(&document.deployment, &sorted, &teams)
     }
 
-    /// Digest of a whole configuration from those of its services and from its teams, both in order of their names.
+    /// Returns the digest of a whole configuration, computed from the digests of its services and from its teams, both
+    /// sorted by name.
     pub(super) fn of_parts(
         deployment: &str,
         services: &[(&ServiceName, Self)],
@@ -45,7 +46,9 @@
     }
 
     fn of_json(value: &impl serde::Serialize) -> Self {
-        // Records of text and numbers always have a JSON form.
-        Self::of_bytes(&serde_json::to_vec(value).expect("a record with a JSON form"))
+        // Serialization can't fail: the records contain only text and numbers.
+        Self::of_bytes(
+            &serde_json::to_vec(value).expect("records of text and numbers serialize to JSON"),
+        )
     }
 }
--- a/crates/coltsfootroute/src/revision/delta_fault.rs
+++ b/crates/coltsfootroute/src/revision/delta_fault.rs
@@ -1,12 +1,12 @@
-//! Faults of a document or delta that can't be applied.
+//! Reasons for which a document or delta is rejected.
 
 use super::Revision;
 
 value_type! {
-    /// Why a document or delta was refused; the state is as before.
+    /// Reason for which a document or delta was rejected. The state is unchanged.
     #[derive(thiserror::Error)]
     pub enum DeltaFault {
-        /// The delta starts after the revision held: ask for one from there.
+        /// The delta starts after the revision held. Remedy: request a delta from the revision held.
         #[error("delta from revision {from} doesn't fit revision {held}")]
         Gap {
             /// Revision that the delta starts from.
@@ -14,14 +14,14 @@
             /// Revision held.
             held: Revision,
         },
-        /// The content that would result isn't that of the record: ask for a full snapshot.
+        /// The resulting content doesn't match the record. Remedy: request a full snapshot.
         #[error("content doesn't match the record of revision {0}")]
         Content(Revision),
-        /// The record's fields don't give its digest.
+        /// The record's digest doesn't match its fields.
         #[error("record of revision {0} isn't intact")]
         Record(Revision),
-        /// The record stands at a revision held, or follows one, but in another chain: the history was
-        /// tampered with or the table service lost writes. Never resolved by the system itself.
+        /// The record has the same revision as the one held, or the next, but belongs to another hash chain: the
+        /// history was tampered with or the table service lost writes. The system never resolves this by itself.
         #[error("record of revision {0} belongs to another history")]
         Diverged(Revision),
     }
--- a/crates/coltsfootroute/src/revision/digest_macros.rs
+++ b/crates/coltsfootroute/src/revision/digest_macros.rs
@@ -1,6 +1,6 @@
-//! Macro for the digests of this module.
+//! Macro that declares the digest types of this module.
 
-/// Declares a SHA-256 digest, written as 64 lower-case hexadecimal digits.
+/// Declares a SHA-256 digest type whose text form is 64 lower-case hexadecimal digits.
 macro_rules! digest_type {
     ($(#[$meta:meta])* $name:ident) => {
         $(#[$meta])*
@@ -11,7 +11,7 @@
         pub struct $name([u8; 32]);
 
         impl $name {
-            /// Digest of `bytes`.
+            /// Computes the digest of `bytes`.
             pub(super) fn of_bytes(bytes: &[u8]) -> Self {
                 use sha2::Digest;
                 Self(sha2::Sha256::digest(bytes).into())
@@ -57,7 +57,7 @@
 
 pub(super) use digest_type;
 
-/// The bytes of a digest that is written as 64 hexadecimal digits.
+/// Parses a digest of 64 hexadecimal digits; `None` if `text` has another form.
 pub(crate) fn digest_bytes(text: &str) -> Option<[u8; 32]> {
     let mut bytes = [0; 32];
     if text.len() != 2 * bytes.len() || !text.is_ascii() {
--- a/crates/coltsfootroute/src/revision/document_body.rs
+++ b/crates/coltsfootroute/src/revision/document_body.rs
@@ -1,16 +1,16 @@
-//! Body of a configuration.
+//! Response body with a configuration and its revision.
 
 use super::Revision;
 use crate::schema::SchemaDocument;
 
 record_type! {
-    /// A configuration and its revision, as the command line shows them.
+    /// Configuration and its revision, as the command line shows them.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct DocumentBody {
-        /// The revision.
+        /// Revision of the configuration.
         pub revision: Revision,
-        /// The configuration.
+        /// Content of the configuration.
         pub document: SchemaDocument,
     }
 }
--- a/crates/coltsfootroute/src/revision/entry_change.rs
+++ b/crates/coltsfootroute/src/revision/entry_change.rs
@@ -1,18 +1,18 @@
-//! One service of a delta.
+//! Change of one service in a delta.
 
 use super::Revision;
 use crate::{name::ServiceName, schema::ServiceEntry};
 
 record_type! {
-    /// One service of a delta.
+    /// Change of one service in a delta.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct EntryChange {
         /// Name of the service.
         pub name: ServiceName,
-        /// Revision that changed or removed it.
+        /// Revision that changed or removed the service.
         pub revision: Revision,
-        /// The service; `None` is a tombstone: the service was removed.
+        /// Declaration of the service; `None` (a tombstone) if it was removed.
         pub service: Option<ServiceEntry>,
     }
 }
--- a/crates/coltsfootroute/src/revision/failure_body.rs
+++ b/crates/coltsfootroute/src/revision/failure_body.rs
@@ -1,13 +1,13 @@
-//! Body of a failure.
+//! Response body of a failed operator request.
 
 record_type! {
-    /// Answer 4xx or 503 to an operator's RPC, where no other body is defined. Clients
-    /// ignore fields that they don't know.
+    /// Body of a 4xx or 503 response to an operator's request for which no other body is defined. Clients
+    /// ignore unknown fields.
     #[derive(serde::Serialize, serde::Deserialize)]
     pub struct FailureBody {
-        /// Why, in words.
+        /// Human-readable reason.
         pub reason: String,
-        /// Whether the request may have taken effect all the same, or may still do so.
+        /// Whether the request may have taken effect in spite of the failure, or may still do so.
         #[serde(default)]
         pub may_take_effect: bool,
     }
--- a/crates/coltsfootroute/src/revision/head_reader.rs
+++ b/crates/coltsfootroute/src/revision/head_reader.rs
@@ -1,35 +1,35 @@
-//! Reads the newest configuration.
+//! State machine that reads the newest configuration from the table service.
 
 use super::{ChainDigest, HeadRow, ReaderStep, RevisionRow, RowFault, schema_rows};
 use crate::table::{StoredRow, TableReply, TableRequest};
 
-/// Reads `schema/head`, then the revision that it names. Gives `None` if there is no configuration yet, or
-/// none but the one held.
+/// Reads `schema/head`, then the row of the revision that it names. The result is `None` if there is no
+/// configuration yet or the newest one is already held.
 #[derive(Clone, Debug, Default)]
 pub struct HeadReader {
-    /// Chain digest of the revision held, whose row need not be read again.
+    /// Chain digest of the revision held, whose row isn't read again.
     held: Option<ChainDigest>,
     head: Option<HeadRow>,
 }
 
 impl HeadReader {
-    /// A reader that hasn't sent anything yet.
+    /// Creates a reader that has sent no request.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Leaves out the row of the revision held: it is by far the larger of the two.
+    /// Skips the row of the revision whose chain digest is `held`: it is far larger than the head row.
     pub fn with_held_chain(self, held: Option<ChainDigest>) -> Self {
         Self { held, ..self }
     }
 
-    /// The first request.
+    /// Returns the first request.
     pub fn start(&mut self) -> TableRequest {
         self.head = None;
         TableRequest::Read(schema_rows::head_key())
     }
 
-    /// Takes the reply to the last request.
+    /// Handles the reply to the last request and returns the next step.
     pub fn handle_reply(&mut self, reply: &TableReply) -> ReaderStep<Option<RevisionRow>> {
         let TableReply::Rows(rows) = reply else {
             return ReaderStep::Unavailable;
--- a/crates/coltsfootroute/src/revision/head_row.rs
+++ b/crates/coltsfootroute/src/revision/head_row.rs
@@ -1,17 +1,17 @@
-//! Row of the newest revision.
+//! Row of the table service that names the newest revision.
 
 use super::{ChainDigest, Revision, SubmissionKey};
 
 record_type! {
-    /// The newest revision.
+    /// Reference to the newest revision.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct HeadRow {
-        /// The revision.
+        /// Number of the revision.
         pub revision: Revision,
-        /// Chain digest of its record.
+        /// Chain digest of the revision's record.
         pub chain: ChainDigest,
-        /// Idempotency key of its submission.
+        /// Idempotency key of the revision's submission.
         pub key: SubmissionKey,
     }
 }
--- a/crates/coltsfootroute/src/revision/history_check.rs
+++ b/crates/coltsfootroute/src/revision/history_check.rs
@@ -1,22 +1,22 @@
-//! Check of a history by its chain of digests.
+//! Verification of a history by its hash chain.
 
 use super::{ChainDigest, HistoryFault, Revision, RevisionRecord};
 
-/// Checks a whole history, from revision 1 on. A tail cut off can't be seen: compare the last chain digest
-/// with that of the configuration in force.
+/// Verifies a whole history, from revision 1 on. Truncation at the end isn't detected: to detect it, compare the last
+/// chain digest with that of the configuration in force.
 ///
 /// # Errors
 ///
-/// The first fault found.
+/// Returns the first fault found.
 pub fn verify_history(records: &[RevisionRecord]) -> Result<(), HistoryFault> {
     verify_segment(Revision::ZERO, ChainDigest::ROOT, records)
 }
 
-/// Checks the part of a history that follows the record of `revision`, whose chain digest is `chain`.
+/// Verifies the part of a history after the record of `revision`, whose chain digest is `chain`.
 ///
 /// # Errors
 ///
-/// The first fault found.
+/// Returns the first fault found.
 pub fn verify_segment(
     revision: Revision,
     chain: ChainDigest,
--- a/crates/coltsfootroute/src/revision/history_reader.rs
+++ b/crates/coltsfootroute/src/revision/history_reader.rs
@@ -1,13 +1,14 @@
-//! Reads the history.
+//! State machine that reads the history from the table service.
 
 use super::{ReaderStep, Revision, RevisionRecord, RowFault, schema_rows};
 use crate::table::{StoredRow, TableReply, TableRequest};
 
-/// Rows of a page. Each holds a whole configuration, of up to [`MAX_SCHEMA_BYTES`](crate::schema) as
-/// submitted, and a reply of the table service is bounded to four times as much.
+/// Maximum number of rows in a page. Each row holds a whole configuration of up to
+/// [`MAX_SCHEMA_BYTES`](crate::schema) as submitted, and a reply of the table service is limited to four times that
+/// size.
 const PAGE_ROWS: usize = 4;
 
-/// Reads records page by page, oldest first.
+/// Reads revision records page by page, oldest first.
 #[derive(Clone, Debug)]
 pub struct HistoryReader {
     after: Revision,
@@ -16,18 +17,18 @@
 }
 
 impl HistoryReader {
-    /// Reads at most `limit` records, those after revision `after`.
+    /// Creates a reader of at most `limit` records after revision `after`.
     pub fn new(after: Revision, limit: usize) -> Self {
         Self { after, limit, records: Vec::new() }
     }
 
-    /// The first request.
+    /// Returns the first request.
     pub fn start(&mut self) -> TableRequest {
         self.records.clear();
         self.page_request()
     }
 
-    /// Takes the reply to the last request.
+    /// Handles the reply to the last request and returns the next step.
     pub fn handle_reply(&mut self, reply: &TableReply) -> ReaderStep<Vec<RevisionRecord>> {
         let TableReply::Rows(rows) = reply else {
             return ReaderStep::Unavailable;
--- a/crates/coltsfootroute/src/revision/history_record.rs
+++ b/crates/coltsfootroute/src/revision/history_record.rs
@@ -1,16 +1,16 @@
-//! A revision with its spread.
+//! Revision together with the nodes that have put it in force.
 
 use super::{InForceRecord, RevisionRecord};
 
 record_type! {
-    /// A revision and the nodes known to have put it in force.
+    /// Revision and the nodes known to have put it in force.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct HistoryRecord {
-        /// The revision's record.
+        /// Record of the revision.
         pub record: RevisionRecord,
-        /// Nodes known to have put it in force, in the order in which that became known; a node that had
-        /// passed on to a later revision at once isn't among them.
+        /// Nodes known to have put the revision in force, in the order in which this was observed. A node that skipped
+        /// to a later revision isn't listed.
         pub in_force: Vec<InForceRecord>,
     }
 }
--- a/crates/coltsfootroute/src/revision/in_force_record.rs
+++ b/crates/coltsfootroute/src/revision/in_force_record.rs
@@ -1,20 +1,20 @@
-//! When a node put a revision in force.
+//! Record of a node putting a revision in force.
 
 use super::{ChainDigest, Revision};
 use crate::id::NodeId;
 
 record_type! {
-    /// One node put one revision in force.
+    /// Record of one node putting one revision in force.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct InForceRecord {
-        /// The revision.
+        /// Revision put in force.
         pub revision: Revision,
-        /// Chain digest of its record, which ties this one to the history.
+        /// Chain digest of the revision's record, which identifies the history that it belongs to.
         pub chain: ChainDigest,
-        /// The node.
+        /// Node that put the revision in force.
         pub node: NodeId,
-        /// The node's wall clock, in milliseconds since the Unix epoch.
+        /// Wall-clock time at the node, in milliseconds since the Unix epoch.
         pub wall_ms: u64,
     }
 }
--- a/crates/coltsfootroute/src/revision/key_row.rs
+++ b/crates/coltsfootroute/src/revision/key_row.rs
@@ -1,15 +1,15 @@
-//! Row of an idempotency key.
+//! Row of the table service for an idempotency key.
 
 use super::{ContentDigest, Revision};
 
 record_type! {
-    /// Where the submission with a key was accepted. Never changed once written.
+    /// Revision that the submission with an idempotency key was accepted as. Immutable once written.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct KeyRow {
-        /// Its revision.
+        /// Revision of the accepted submission.
         pub revision: Revision,
-        /// Digest of the document submitted.
+        /// Digest of the submitted document.
         pub content: ContentDigest,
     }
 }
--- a/crates/coltsfootroute/src/revision/pull_plan.rs
+++ b/crates/coltsfootroute/src/revision/pull_plan.rs
@@ -1,4 +1,4 @@
-//! Which peers are asked for a revision that they have told of.
+//! Selection of the peers from which a node pulls a newer revision.
 
 use std::time::Duration;
 
@@ -6,32 +6,34 @@
 use crate::{id::NodeId, time::MonotonicTime};
 use indexmap::IndexMap;
 
-/// Peers asked at once.
+/// Maximum number of pulls in flight.
 const MAX_CONCURRENT_PULLS: usize = 3;
-/// Peers remembered that have told of a higher revision.
+/// Maximum number of candidate peers, which have reported a revision and wait to be queried.
 const MAX_CANDIDATES: usize = 16;
-/// A peer that has not answered for so long is not waited for alone: peers of one region answer within some milliseconds.
+/// Time without a response after which a further peer is queried. Peers of one region respond within some
+/// milliseconds.
 const HEDGE_DELAY: Duration = Duration::from_millis(200);
 
-/// Which peers are asked for a revision that they have told of: one at first, and another each time that those asked have
-/// not answered for a while.
+/// Selects the peers from which a node pulls a revision that they have reported: first one peer, then a further one
+/// whenever `HEDGE_DELAY` has passed since the last request without a response.
 ///
-/// Invariant: a peer is asked once at a time.
+/// Invariant: at most one pull per peer is in flight.
 #[derive(Clone, Debug, Default)]
 pub struct PullPlan {
-    /// Peers not asked since, with the highest revision that each has told of.
+    /// Peers not queried since their last report, with the revision that each reported last.
     candidates: IndexMap<NodeId, Revision>,
-    /// Peers asked, and when, the first one first.
+    /// Peers with a pull in flight and the time of the request, in order of request.
     in_flight: IndexMap<NodeId, MonotonicTime>,
 }
 
 impl PullPlan {
-    /// Nobody has told of anything.
+    /// Creates a plan without candidates.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// `peer` has told that it has `revision` in force.
+    /// Records a report of `peer` that it has `revision` in force. Beyond the limit of candidates, the oldest one is
+    /// dropped.
     pub fn record_revision(&mut self, peer: NodeId, revision: Revision) {
         if self.candidates.len() >= MAX_CANDIDATES && !self.candidates.contains_key(&peer) {
             self.candidates.shift_remove_index(0);
@@ -39,7 +41,8 @@
         self.candidates.insert(peer, revision);
     }
 
-    /// The peer to ask now, where `held` is held; it counts as asked.
+    /// Returns the peer to query now, given that revision `held` is held, and records the request. Returns `None` if
+    /// no further peer is to be queried yet.
     pub fn next_peer(&mut self, now: MonotonicTime, held: Revision) -> Option<NodeId> {
         self.candidates.retain(|_, revision| *revision > held);
         if self.in_flight.len() >= MAX_CONCURRENT_PULLS
@@ -54,7 +57,8 @@
         Some(peer)
     }
 
-    /// `peer` is asked in any case; `false` if it is being asked already.
+    /// Records a request that is sent to `peer` regardless of the plan. Returns `false` if a pull from it is already in
+    /// flight.
     pub fn record_request(&mut self, now: MonotonicTime, peer: NodeId) -> bool {
         let is_new = !self.in_flight.contains_key(&peer);
         if is_new {
@@ -63,13 +67,13 @@
         is_new
     }
 
-    /// `peer` has answered, or will not.
+    /// Records that the pull from `peer` has completed or failed.
     pub fn record_completion(&mut self, peer: NodeId) {
         self.in_flight.shift_remove(&peer);
     }
 
-    /// When the next peer is due though those asked have not answered; `None` while nobody is asked or nobody else is
-    /// known.
+    /// Returns the time at which a further peer is to be queried if no response arrives. Returns `None` while no pull
+    /// is in flight, the maximum number of pulls is in flight or there is no other candidate.
     pub fn next_hedge_at(&self) -> Option<MonotonicTime> {
         let has_idle_candidate =
             self.candidates.keys().any(|peer| !self.in_flight.contains_key(peer));
--- a/crates/coltsfootroute/src/revision/reader_step.rs
+++ b/crates/coltsfootroute/src/revision/reader_step.rs
@@ -1,18 +1,18 @@
-//! Steps of a reader.
+//! Steps of a reader state machine.
 
 use super::RowFault;
 use crate::table::TableRequest;
 
 record_type! {
-    /// What a reader of the table service wants next.
+    /// Next step of a reader of the table service.
     pub enum ReaderStep<T> {
-        /// Carry this out and hand back the reply.
+        /// Send this request and pass the reply to the reader.
         Send(TableRequest),
-        /// All is read.
+        /// The read is complete.
         Done(T),
-        /// The table service didn't answer: start anew later.
+        /// The table service didn't respond: restart the reader later.
         Unavailable,
-        /// A row isn't what it should be.
+        /// A row is missing or invalid.
         Faulty(RowFault),
     }
 }
--- a/crates/coltsfootroute/src/revision/revision_draft.rs
+++ b/crates/coltsfootroute/src/revision/revision_draft.rs
@@ -1,20 +1,20 @@
-//! What a new record says.
+//! Input for a new revision record.
 
 use super::{ContentDigest, SubmissionKey};
 use crate::name::{OperatorName, ServiceName};
 
 record_type! {
-    /// What a new record says besides its place in the chain.
+    /// Contents of a new revision record, apart from its position in the hash chain.
     pub struct RevisionDraft {
         /// Digest of the whole configuration.
         pub content: ContentDigest,
-        /// Who submitted it.
+        /// Operator who submitted the revision.
         pub operator: OperatorName,
-        /// Wall clock, in milliseconds since the Unix epoch.
+        /// Wall-clock time of the submission, in milliseconds since the Unix epoch.
         pub wall_ms: u64,
         /// Idempotency key of the submission.
         pub key: SubmissionKey,
-        /// Services added, changed or removed, in order of their names.
+        /// Services added, changed or removed, sorted by name.
         pub changed: Vec<ServiceName>,
     }
 }
--- a/crates/coltsfootroute/src/revision/revision_number.rs
+++ b/crates/coltsfootroute/src/revision/revision_number.rs
@@ -1,20 +1,20 @@
-//! Number of a revision.
+//! Revision number of the configuration.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
 value_type! {
-    /// Revision of the whole configuration: 0 before the first submission, then one more with each that is
-    /// accepted. Never falls.
+    /// Revision number of the whole configuration: 0 before the first submission, then increased by 1 with each
+    /// accepted submission. Never decreases.
     #[derive(Default, serde::Serialize, serde::Deserialize)]
     #[serde(transparent)]
     pub struct Revision(pub u64);
 }
 
 impl Revision {
-    /// Before the first submission: no configuration.
+    /// Revision before the first submission, when there is no configuration.
     pub const ZERO: Self = Self(0);
 
-    /// The revision after this one.
+    /// Returns the revision after this one.
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
@@ -29,7 +29,7 @@
 impl FromStr for Revision {
     type Err = ParseIntError;
 
-    /// Parses a plain number, also in the double quotes of an entity tag.
+    /// Parses a plain number, with or without the double quotes of an entity tag.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let bare = text.strip_prefix('"').and_then(|rest| rest.strip_suffix('"'));
         bare.unwrap_or(text).parse().map(Self)
--- a/crates/coltsfootroute/src/revision/revision_row.rs
+++ b/crates/coltsfootroute/src/revision/revision_row.rs
@@ -1,16 +1,16 @@
-//! Row of a revision.
+//! Row of the table service for one revision.
 
 use super::RevisionRecord;
 use crate::schema::SchemaDocument;
 
 record_type! {
-    /// A revision. Never changed once written.
+    /// Record and content of a revision. Immutable once written.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct RevisionRow {
-        /// Who, when, what.
+        /// Record of who submitted the revision, when, and with what content digest.
         pub record: RevisionRecord,
-        /// The whole configuration.
+        /// Whole configuration at this revision.
         pub document: SchemaDocument,
     }
 }
--- a/crates/coltsfootroute/src/revision/row_fault.rs
+++ b/crates/coltsfootroute/src/revision/row_fault.rs
@@ -1,15 +1,15 @@
-//! Faults of stored rows.
+//! Error for an invalid stored row.
 
 use crate::table::RowKey;
 
 record_type! {
-    /// A row of the table service that can't be what this library wrote.
+    /// Error for a row of the table service that is missing or differs from anything that this library writes.
     #[derive(thiserror::Error)]
     #[error("row {key}: {message}")]
     pub struct RowFault {
-        /// The row.
+        /// Key of the row.
         pub key: RowKey,
-        /// What is wrong.
+        /// Description of the fault.
         pub message: String,
     }
 }
--- a/crates/coltsfootroute/src/revision/schema_rows.rs
+++ b/crates/coltsfootroute/src/revision/schema_rows.rs
@@ -1,43 +1,43 @@
-//! Rows of the configuration in the table service.
+//! Keys and encoding of the configuration's rows in the table service.
 //!
-//! `schema/head` names the newest revision, `schema/revision/{20 digits}` holds each revision for good, and
-//! `schema/key/{key}` leads from the idempotency key of an accepted submission to its revision. All three
-//! are written in one transaction.
+//! `schema/head` names the newest revision, `schema/revision/{20 digits}` stores each revision permanently, and
+//! `schema/key/{key}` maps the idempotency key of an accepted submission to its revision. All three are written in
+//! one transaction.
 
 use super::{ContentDigest, Revision, RevisionRow, RowFault, SubmissionKey};
 use crate::table::{RowKey, StoredRow};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Common start of the keys of [`RevisionRow`]s.
+/// Common prefix of the keys of [`RevisionRow`]s.
 pub(super) const REVISION_PREFIX: &str = "schema/revision/";
 
-/// Key of the [`HeadRow`](super::HeadRow).
+/// Returns the key of the [`HeadRow`](super::HeadRow).
 pub(super) fn head_key() -> RowKey {
     RowKey::new("schema/head")
 }
 
-/// Key of a [`RevisionRow`]; keys sort like revisions.
+/// Returns the key of a [`RevisionRow`]. Keys sort in the order of their revisions.
 pub(super) fn revision_key(revision: Revision) -> RowKey {
     RowKey::new(&format!("{REVISION_PREFIX}{:020}", revision.0))
 }
 
-/// Key of a [`KeyRow`](super::KeyRow).
+/// Returns the key of a [`KeyRow`](super::KeyRow).
 pub(super) fn submission_key(key: &SubmissionKey) -> RowKey {
     RowKey::new(&format!("schema/key/{key}"))
 }
 
-/// A row's value as stored.
+/// Encodes a row's value for storage.
 pub(super) fn encode(row: &impl Serialize) -> String {
-    // Rows hold text and numbers only, which always have a JSON form.
-    serde_json::to_string(row).expect("a row with a JSON form")
+    // Serialization can't fail: rows contain only text and numbers.
+    serde_json::to_string(row).expect("rows of text and numbers serialize to JSON")
 }
 
-/// A row's value from what is stored.
+/// Decodes a row's stored value.
 pub(super) fn decode<T: DeserializeOwned>(row: &StoredRow) -> Result<T, RowFault> {
     serde_json::from_str(&row.value).map_err(|error| fault(&row.key, error.to_string()))
 }
 
-/// A revision's row, with the record checked against the document.
+/// Decodes a revision's row and checks its record against its key and document.
 pub(super) fn decode_revision(row: &StoredRow) -> Result<RevisionRow, RowFault> {
     let revision: RevisionRow = decode(row)?;
     let is_under_own_key = revision_key(revision.record.revision) == row.key;
--- a/crates/coltsfootroute/src/revision/submission.rs
+++ b/crates/coltsfootroute/src/revision/submission.rs
@@ -12,23 +12,23 @@
 };
 use indexmap::IndexMap;
 
-/// Most failed requests before a submission gives up.
+/// Number of failed requests after which a submission is abandoned.
 pub const MAX_ATTEMPTS: u32 = 16;
 
-/// Takes one document into the table service by compare-and-set on `schema/head`.
+/// Writes one document to the table service by compare-and-set on `schema/head`.
 ///
-/// Reads the head first, then the row of its own idempotency key. In that order, "head moved on, key
-/// absent" proves that an earlier write of this key that is still on its way can't take effect any more:
-/// it is conditional on the head's old version. While the head stands where it stood, the same write can
-/// safely be sent again: the two exclude each other.
+/// Reads the head first, then the row of its own idempotency key. In that order, a changed head and an absent key
+/// prove that an earlier write with this key that is still in transit can no longer take effect, since it is
+/// conditional on the head's old version. While the head is unchanged, the same write can safely be sent again: at
+/// most one of the two writes succeeds.
 #[derive(Clone, Debug)]
 pub struct Submission {
     request: SubmissionRequest,
     content: ContentDigest,
     phase: Phase,
-    /// The head as last read.
+    /// Head row as last read, with its version.
     head: Option<(RowVersion, HeadRow)>,
-    /// Failed requests.
+    /// Number of failed requests.
     attempts: u32,
     /// Whether a write of this submission may have taken effect or may still do so.
     may_take_effect: bool,
@@ -38,10 +38,10 @@
 enum Phase {
     ReadHead,
     ReadKey,
-    /// Reads the revision that this key was accepted as.
+    /// Reads the revision that the submission with this key was accepted as.
     ReadAccepted(Revision),
     ReadCurrent(Revision),
-    /// Reads the revision that the operator expected, to show what changed since.
+    /// Reads the revision that the operator expected, to report the changes since then.
     ReadExpected(RevisionRow),
     Write(RevisionRecord),
 }
@@ -49,7 +49,7 @@
 type StepResult = Result<SubmissionStep, RowFault>;
 
 impl Submission {
-    /// A submission that hasn't sent anything yet.
+    /// Creates a submission that has sent no request.
     pub fn new(request: SubmissionRequest) -> Self {
         let content = ContentDigest::of_document(&request.document);
         Self {
@@ -62,12 +62,12 @@
         }
     }
 
-    /// The first request.
+    /// Returns the first step.
     pub fn start(&mut self) -> SubmissionStep {
         self.enter(Phase::ReadHead)
     }
 
-    /// Takes the reply to the last request.
+    /// Handles the reply to the last request and returns the next step.
     pub fn handle_reply(&mut self, reply: TableReply) -> SubmissionStep {
         let step = match (reply, self.phase.clone()) {
             (TableReply::Committed, Phase::Write(record)) => {
@@ -96,7 +96,7 @@
                 let expected = require_revision(self.request.expected, row)?;
                 conflict(Some(current), &expected.document)
             }
-            // Rows don't answer a write: whether it took effect is unknown.
+            // Rows are not a valid reply to a write: whether the write took effect is unknown.
             Phase::Write(_) => {
                 self.may_take_effect = true;
                 self.retry_later(Phase::ReadHead)
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Writes if the newest revision is the one expected.
+    /// Writes the new revision if the newest revision is the expected one; otherwise reports a conflict.
     fn write_or_conflict(&mut self, current: Option<RevisionRow>) -> StepResult {
         let (newest, expected) = (self.head_revision(), self.request.expected);
         if newest == expected {
@@ -146,7 +146,7 @@
         match current {
             Some(row) if expected == Revision::ZERO => conflict(Some(row), &empty_document()),
             Some(row) if expected < newest => Ok(self.enter(Phase::ReadExpected(row))),
-            // The operator names a revision that doesn't exist: there is nothing to compare with.
+            // The expected revision doesn't exist, so there is nothing to compare with.
             Some(row) => conflict(Some(row.clone()), &row.document),
             None => conflict(None, &empty_document()),
         }
@@ -171,7 +171,7 @@
         SubmissionStep::Send(request)
     }
 
-    /// Goes on with `phase` after a failure, unless there were too many.
+    /// Continues with `phase` after a failed request, or ends the submission after [`MAX_ATTEMPTS`] failures.
     fn retry(&mut self, phase: Phase) -> StepResult {
         self.attempts += 1;
         if self.attempts >= MAX_ATTEMPTS {
@@ -229,7 +229,7 @@
     RowWrite { key, condition, value: Some(schema_rows::encode(row)) }
 }
 
-/// A revision's row that the head or a key row vouches for.
+/// Decodes a revision's row that must exist, since the head or a key row refers to it.
 fn require_revision(revision: Revision, row: Option<&StoredRow>) -> Result<RevisionRow, RowFault> {
     let Some(row) = row else {
         let key = schema_rows::revision_key(revision);
@@ -248,7 +248,7 @@
     SchemaDocument { deployment: String::new(), services: Vec::new(), teams: Vec::new() }
 }
 
-/// Services added, changed or removed, in order of their names.
+/// Returns the services added, changed or removed, sorted by name.
 fn changed_services(old: Option<&SchemaDocument>, new: &SchemaDocument) -> Vec<ServiceName> {
     let digests = |document: &SchemaDocument| -> IndexMap<ServiceName, ContentDigest> {
         let services = document.services.iter();
--- a/crates/coltsfootroute/src/revision/submission_request.rs
+++ b/crates/coltsfootroute/src/revision/submission_request.rs
@@ -1,20 +1,20 @@
-//! What an operator submits.
+//! Submission of a new configuration by an operator.
 
 use super::{Revision, SubmissionKey};
 use crate::{name::OperatorName, schema::SchemaDocument};
 
 record_type! {
-    /// A new configuration, meant to replace the one at a known revision.
+    /// New configuration that is to replace the one at an expected revision.
     pub struct SubmissionRequest {
-        /// Revision that the operator took for the newest.
+        /// Revision that the operator expects to be the newest.
         pub expected: Revision,
-        /// Who submits.
+        /// Operator who submits the configuration.
         pub operator: OperatorName,
         /// Idempotency key.
         pub key: SubmissionKey,
-        /// The checked document.
+        /// Validated document.
         pub document: SchemaDocument,
-        /// Wall clock, in milliseconds since the Unix epoch.
+        /// Wall-clock time of the submission, in milliseconds since the Unix epoch.
         pub wall_ms: u64,
     }
 }
--- a/crates/coltsfootroute/src/revision/submission_result.rs
+++ b/crates/coltsfootroute/src/revision/submission_result.rs
@@ -4,28 +4,28 @@
 use crate::schema::SchemaDiff;
 
 record_type! {
-    /// What became of a submission.
+    /// Outcome of a submission.
     pub enum SubmissionResult {
-        /// Accepted now.
+        /// Accepted by this submission.
         Accepted(RevisionRecord),
         /// Accepted earlier under the same key, with the same document.
         AlreadyAccepted(RevisionRecord),
-        /// Not accepted, and this submission never will be: another came first. Or, where the revision
-        /// expected is higher than the newest, it named one that doesn't exist and wrote nothing.
+        /// Rejected permanently, because another submission was accepted first. If the expected revision is higher than
+        /// the newest, it doesn't exist, and nothing was written.
         Conflict {
             /// Record of the newest revision; `None` if there is none yet.
             current: Option<RevisionRecord>,
-            /// What was changed between the revision expected and the newest.
+            /// Changes from the expected revision to the newest.
             diff: SchemaDiff,
         },
-        /// Not accepted: the key stands with another document.
+        /// Rejected: the key was used with another document, accepted as this revision.
         KeyReused(Revision),
         /// The table service can't be reached; the submission may be repeated with the same key.
         Unresolved {
             /// Whether it may have taken effect, or may still do so.
             may_take_effect: bool,
         },
-        /// A row isn't what it should be; nothing was written after it was found.
+        /// A row is missing or invalid. Nothing was written after this was detected.
         Faulty(RowFault),
     }
 }
--- a/crates/coltsfootroute/src/revision/submission_step.rs
+++ b/crates/coltsfootroute/src/revision/submission_step.rs
@@ -1,16 +1,16 @@
-//! Steps of a submission.
+//! Steps of the submission state machine.
 
 use super::SubmissionResult;
 use crate::table::TableRequest;
 
 record_type! {
-    /// What a [`Submission`](super::Submission) wants next.
+    /// Next step of a [`Submission`](super::Submission).
     pub enum SubmissionStep {
-        /// Carry this out and hand back the reply.
+        /// Send this request and pass the reply to the submission.
         Send(TableRequest),
-        /// The same after a pause: the request before it failed.
+        /// Send this request after a pause, because the previous one failed.
         SendLater(TableRequest),
-        /// The end.
+        /// The submission has ended.
         Done(SubmissionResult),
     }
 }
--- a/crates/coltsfootroute/tests/integration/main.rs
+++ b/crates/coltsfootroute/tests/integration/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests of the library, one file for each subject.
+//! Integration tests of the library, one module per subject.
 
 mod admission;
 mod deadline;
--- a/crates/coltsfootroute/tests/integration/revision.rs
+++ b/crates/coltsfootroute/tests/integration/revision.rs
@@ -1,4 +1,4 @@
-//! Revisions: submission, history and spread under loss, reorder, duplication and restart.
+//! Tests of revisions: submission, history and propagation under loss, reordering, duplication and restart.
 
 mod fake_table;
 mod fuzz;
--- a/crates/coltsfootroute/tests/integration/revision/fake_table.rs
+++ b/crates/coltsfootroute/tests/integration/revision/fake_table.rs
@@ -1,4 +1,4 @@
-//! A table service in memory, which also keeps an oracle's list of what took effect.
+//! In-memory table service that also records the commits for the test oracle.
 
 use coltsfootroute::{
     schema::SchemaDocument,
@@ -6,7 +6,7 @@
 };
 use std::collections::BTreeMap;
 
-/// What a transaction made of the configuration, read from the rows without the library's own code.
+/// Configuration after one transaction, read from the rows without the library's own code.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Commit {
     pub revision: u64,
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub struct FakeTable {
     rows: BTreeMap<RowKey, StoredRow>,
-    /// Every change of the head, in order.
+    /// Every change of the head row, in order.
     pub commits: Vec<Commit>,
 }
 
@@ -38,15 +38,15 @@
 
     fn transact(&mut self, writes: &[RowWrite]) -> TableReply {
         let blocked = writes.iter().filter(|write| !self.holds(write));
-        let in_the_way: Vec<_> =
+        let conflicting: Vec<_> =
             blocked.filter_map(|write| self.rows.get(&write.key)).cloned().collect();
         if writes.iter().any(|write| !self.holds(write)) {
-            return TableReply::Conflict(in_the_way);
+            return TableReply::Conflict(conflicting);
         }
         for write in writes {
             self.write(write);
         }
-        self.note_commit(writes);
+        self.record_commit(writes);
         TableReply::Committed
     }
 
@@ -61,17 +61,17 @@
 
     fn write(&mut self, write: &RowWrite) {
         let version = self.rows.get(&write.key).map_or(0, |row| row.version.0) + 1;
-        let value = write.value.clone().expect("the configuration is never deleted");
+        let value = write.value.clone().expect("configuration rows are never deleted");
         let row = StoredRow { key: write.key.clone(), version: RowVersion(version), value };
         self.rows.insert(write.key.clone(), row);
     }
 
-    fn note_commit(&mut self, writes: &[RowWrite]) {
-        let value = |start: &str| -> serde_json::Value {
-            let write = writes.iter().find(|write| write.key.as_str().starts_with(start));
+    fn record_commit(&mut self, writes: &[RowWrite]) {
+        let value = |prefix: &str| -> serde_json::Value {
+            let write = writes.iter().find(|write| write.key.as_str().starts_with(prefix));
             let text = write
                 .and_then(|write| write.value.as_deref())
-                .expect("all rows in one transaction");
+                .expect("all rows are written in one transaction");
             serde_json::from_str(text).expect("JSON")
         };
         let head = value("schema/head");
--- a/crates/coltsfootroute/tests/integration/revision/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/revision/fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of submission and spread against a list of what took effect.
+//! Stateful fuzzing of submission and propagation against the list of committed transactions.
 
 use super::world::{Delivery, World, submission_request};
 use coltsfootroute::{
@@ -15,26 +15,26 @@
 const NODES: usize = 3;
 const SEED: u64 = 0x5eed_c017;
 
-/// What may happen; indices are taken modulo what there is.
+/// Step of a fuzz run. Indices are taken modulo the number of available items.
 #[derive(Clone, Debug)]
 pub enum FuzzStep {
-    /// A new submission, of an operator who believes that the newest revision is `stale` before it.
+    /// An operator submits a document and expects a revision that is `stale` lower than the newest.
     Submit { stale: u64, slots: [u32; 3] },
-    /// The operator repeats a command, perhaps with another document.
+    /// The operator repeats a command, with the same document or another.
     Repeat { which: usize, same: bool },
-    /// One request of a submission under way fares as it may.
+    /// One request of a running submission is sent, with the given delivery.
     Step { which: usize, delivery: Delivery },
     /// Delayed writes arrive.
     Late,
     /// A node reads the table service.
     Load { node: usize },
-    /// A node writes a delta for another, which may arrive never, once or often, at any time.
+    /// A node creates a delta for another, which may arrive at any time: never, once or several times.
     Ask { from: usize, to: usize },
-    /// A delta on its way arrives.
+    /// A delta in transit arrives.
     Deliver { which: usize, to: usize },
-    /// A node loses all it holds, and asks the others for their revisions.
+    /// A node loses its state and queries the others for their revisions.
     Restart { node: usize },
-    /// A peer's revision reaches a node, or the node gives the peer up.
+    /// A node receives a peer's revision, or stops waiting for the peer.
     Hear { from: usize, to: usize, is_lost: bool },
 }
 
@@ -77,7 +77,7 @@
     fn apply((): (), _: &FuzzStep) {}
 }
 
-/// The system under test, with what was told and seen so far.
+/// System under test, with the number of submissions and the revisions that each node has received.
 #[derive(Default)]
 pub struct FuzzRun {
     world: World,
@@ -85,7 +85,7 @@
     observed: [NodeObservation; NODES],
 }
 
-/// What a node has observed of since its start, and whether it takes work.
+/// Highest revision that a node has received since its start, and whether its gate is open.
 #[derive(Default)]
 struct NodeObservation {
     highest: Revision,
@@ -102,7 +102,7 @@
     fn submit_new(&mut self, stale: u64, slots: [u32; 3]) {
         let newest = self.world.table.commits.len() as u64;
         let key = format!("k{}", self.submitted);
-        // A stale beyond the newest stands for a revision that doesn't exist.
+        // If `stale` exceeds the newest revision, the operator expects a revision that doesn't exist.
         let expected = newest.checked_sub(stale).unwrap_or(newest + stale);
         self.submit(&key, expected, &lines(slots));
     }
@@ -120,8 +120,8 @@
     }
 
     fn step(&mut self, which: usize, delivery: Delivery) {
-        let under_way = self.names(|result| result.is_none());
-        if let Some(name) = pick(&under_way, which) {
+        let running = self.names(|result| result.is_none());
+        if let Some(name) = pick(&running, which) {
             self.world.step(&name, delivery);
         }
     }
@@ -187,7 +187,7 @@
         }
     }
 
-    /// A gate opens only at a revision not lower than any observed of since the start.
+    /// Checks that a gate opens only at a revision not lower than any received since the start, and stays open.
     fn try_gates(&mut self) {
         for (index, observed) in self.observed.iter_mut().enumerate() {
             let Some(node) = self.world.nodes.get_mut(&index.to_string()) else {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// A state changes only upwards, and says so.
+    /// Checks that a state's revision never decreases and that the outcome reports the change.
     fn check_rise(&mut self, node: &str, before: Revision, applied: ApplyOutcome) {
         let after = self.world.node(node).state.revision();
         match applied {
@@ -230,7 +230,11 @@
             let runners = self.world.runners.values();
             let mut own = runners.filter(|runner| runner.request.key.as_str() == commit.key);
             let expected = own.next().expect("a submission").request.expected;
-            assert_eq!(expected.next().0, commit.revision, "accepted over a revision not seen");
+            assert_eq!(
+                expected.next().0,
+                commit.revision,
+                "accepted on top of another revision than the expected one"
+            );
         }
     }
 
@@ -244,14 +248,14 @@
                 Some(
                     SubmissionResult::Accepted(record) | SubmissionResult::AlreadyAccepted(record),
                 ) => {
-                    assert!(is_in, "told accepted, but it isn't");
+                    assert!(is_in, "reported as accepted, but no commit has this document");
                     assert_eq!(Some(record.revision.0), own.map(|commit| commit.revision));
                 }
                 Some(SubmissionResult::Conflict { current, .. }) => {
                     let newest = current.as_ref().map_or(Revision::ZERO, |record| record.revision);
-                    // An operator may repeat a command that named a revision too early.
+                    // An operator may repeat a command whose expected revision didn't exist at first.
                     let is_early = newest < runner.request.expected && runner.writes == 0;
-                    assert!(own.is_none() || is_early, "told a conflict, but accepted");
+                    assert!(own.is_none() || is_early, "reported as a conflict, but committed");
                 }
                 Some(SubmissionResult::KeyReused(_)) => assert!(own.is_some() && !is_in),
                 Some(SubmissionResult::Faulty(fault)) => panic!("{fault}"),
@@ -260,14 +264,17 @@
                         other.request.key.as_str() == key && !std::ptr::eq(*other, runner)
                     });
                     let is_of_other = others.any(|other| other.writes > 0);
-                    assert!(own.is_none() || is_of_other, "told no effect, but accepted");
+                    assert!(
+                        own.is_none() || is_of_other,
+                        "reported as without effect, but committed"
+                    );
                 }
                 Some(SubmissionResult::Unresolved { may_take_effect: true }) | None => {}
             }
         }
     }
 
-    /// After the trouble: all submissions end, all nodes get the same configuration, the chain holds.
+    /// Checks that after the faults all submissions end, all nodes get the same configuration and the history verifies.
     fn settle(mut self) {
         self.world.deliver_delayed();
         for name in self.names(|result| result.is_none()) {
@@ -288,7 +295,7 @@
         assert_eq!(verify_history(&history), Ok(()));
     }
 
-    /// A submission that gave up is resolved by a repetition with its key.
+    /// Checks that repeating an abandoned submission with its key resolves it.
     fn repeat_unresolved(&mut self) {
         let is_unresolved = |result: &Option<SubmissionResult>| {
             matches!(result, Some(SubmissionResult::Unresolved { .. }))
@@ -299,7 +306,10 @@
             let again = format!("s{}", self.submitted);
             self.world.submit(&again, request);
             self.world.run(&again);
-            assert!(!is_unresolved(&self.world.runners[&again].result), "no answer without faults");
+            assert!(
+                !is_unresolved(&self.world.runners[&again].result),
+                "unresolved without faults"
+            );
         }
     }
 
@@ -310,7 +320,7 @@
     }
 }
 
-/// Services with slots above 0; a service with 0 is absent.
+/// Returns one line for each service with more than 0 slots; a service with 0 slots is absent.
 fn lines(slots: [u32; 3]) -> String {
     let all = ["catalogo", "envios", "fletes"].into_iter().zip(slots);
     let present: Vec<_> = all
--- a/crates/coltsfootroute/tests/integration/revision/head.rs
+++ b/crates/coltsfootroute/tests/integration/revision/head.rs
@@ -1,10 +1,10 @@
-//! What a reader of the newest configuration asks for.
+//! Tests of the requests that a reader of the newest configuration sends.
 
 use super::world::{World, submission_request};
 use coltsfootroute::revision::{ChainDigest, HeadReader, ReaderStep};
 use rstest::rstest;
 
-/// Requests sent, and whether a configuration was read.
+/// Returns the number of requests sent and whether a configuration was read.
 fn read(world: &mut World, held: Option<ChainDigest>) -> (usize, bool) {
     let mut reader = HeadReader::new().with_held_chain(held);
     let mut request = reader.start();
--- a/crates/coltsfootroute/tests/integration/revision/history.rs
+++ b/crates/coltsfootroute/tests/integration/revision/history.rs
@@ -1,4 +1,4 @@
-//! The chain of records, and what tampering does to it.
+//! Tests of the hash chain of records, the detection of tampering and the recent history.
 
 use super::world::{World, submission_request};
 use coltsfootroute::{
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn recent_history_is_bounded_and_notes_each_node_once() {
+fn recent_history_is_bounded_and_records_each_node_once() {
     let records = history(5);
     let mut recent = RecentHistory::new(3);
     let node = NodeId(([127, 0, 0, 1], 1).into());
--- a/crates/coltsfootroute/tests/integration/revision/pull_plan.rs
+++ b/crates/coltsfootroute/tests/integration/revision/pull_plan.rs
@@ -1,4 +1,4 @@
-//! Which peers are asked for a revision that they have told of, and when.
+//! Tests which peers are queried for a revision that they have reported, and when.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     NodeId(([127, 0, 0, 1], port).into())
 }
 
-/// A plan that has observed of revision 5 from so many peers, the first one at port 1.
+/// Returns a plan with reports of revision 5 from the given number of peers, on ports from 1.
 fn plan_with_candidates(peers: u16) -> PullPlan {
     let mut plan = PullPlan::new();
     (1..=peers).for_each(|port| plan.record_revision(peer(port), Revision(5)));
@@ -37,7 +37,7 @@
 fn another_is_asked_when_the_first_has_not_answered_for_a_while() {
     let mut plan = plan_with_candidates(3);
     let first = plan.next_peer(at(0), HELD);
-    let due = plan.next_hedge_at().expect("others know too");
+    let due = plan.next_hedge_at().expect("other candidates remain");
 
     let second = plan.next_peer(due, HELD);
 
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn whoever_knows_most_is_asked_first() {
+fn the_peer_with_the_highest_revision_is_asked_first() {
     let mut plan = plan_with_candidates(3);
     plan.record_revision(peer(9), Revision(7));
 
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_next_is_asked_at_once_when_one_has_answered_in_vain() {
+fn the_next_is_asked_immediately_after_a_completed_pull() {
     let mut plan = plan_with_candidates(2);
     let first = plan.next_peer(at(0), HELD).expect("a peer");
 
--- a/crates/coltsfootroute/tests/integration/revision/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/revision/scenarios.rs
@@ -1,7 +1,7 @@
-//! The scripted scenarios `tests/scenarios/revision-*.txt`.
+//! Runs the scripted scenarios `tests/scenarios/revision-*.txt`.
 //!
 //! Directives: `submit`, `step`, `run`, `late`, `load`, `delta`, `deliver`, `restart`, `gate`, `show`,
-//! `history`. Rewrite the expectations with `REWRITE=1`, then read them.
+//! `history`. Regenerate the expected output with `REWRITE=1`, then review it.
 
 use super::world::{Delivery, World, submission_request};
 use coltsfootroute::{
@@ -101,7 +101,7 @@
 
 fn gate(world: &mut World, case: &mut TestCase) -> Result<String, DataDrivenError> {
     let node: String = case.take_arg("node")?;
-    let observed = case.try_take_arg::<u64>("hears")?;
+    let reported = case.try_take_arg::<u64>("hears")?;
     let port = |peer: u16| NodeId(([127, 0, 0, 1], peer).into());
     let (asks, gives_up) = (case.try_take_arg("asks")?, case.try_take_arg("gives-up")?);
     let peer = case.try_take_arg("peer")?;
@@ -112,7 +112,7 @@
     if let Some(peer) = gives_up {
         node.gate.stop_awaiting(port(peer));
     }
-    if let (Some(peer), Some(revision)) = (peer, observed) {
+    if let (Some(peer), Some(revision)) = (peer, reported) {
         node.gate.record_peer_revision(port(peer), Revision(revision));
     }
     let is_open = node.gate.try_open(node.state.revision());
--- a/crates/coltsfootroute/tests/integration/revision/state.rs
+++ b/crates/coltsfootroute/tests/integration/revision/state.rs
@@ -1,4 +1,4 @@
-//! What a state refuses, and the bound on tombstones.
+//! Tests of the inputs that a state rejects, of external histories and of the limit on tombstones.
 
 use super::world::document;
 use coltsfootroute::{
@@ -20,13 +20,13 @@
     RevisionRecord::new(Revision(revision - 1), parent, draft)
 }
 
-/// A state that has put each text in force in turn, as revisions 1, 2, …
+/// Returns a state that has put each text in force in turn, as revisions 1, 2, …
 fn state_of(texts: &[&str]) -> ConfigState {
     let mut state = ConfigState::new();
     for (index, lines) in texts.iter().enumerate() {
         let parent = state.record().map_or(ChainDigest::ROOT, |record| record.chain);
         let record = record(index as u64 + 1, parent, lines);
-        state.apply_document(&record, &document(lines)).expect("it follows");
+        state.apply_document(&record, &document(lines)).expect("the next revision applies");
     }
     state
 }
@@ -83,7 +83,7 @@
     let early = state.delta_since(Revision(1)).expect("newer");
     let late = state.delta_since(Revision(2)).expect("newer");
 
-    assert!(early.is_snapshot(), "a tombstone was forgotten");
+    assert!(early.is_snapshot(), "a tombstone was dropped");
     assert_eq!((late.from, late.changes.len()), (Revision(2), 1));
 }
 
--- a/crates/coltsfootroute/tests/integration/revision/teams.rs
+++ b/crates/coltsfootroute/tests/integration/revision/teams.rs
@@ -1,4 +1,4 @@
-//! Teams spread with the configuration.
+//! Tests that teams are propagated with the configuration.
 
 use coltsfootroute::{
     name::OperatorName,
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// A document with one service of so many slots, and a team for each of the names, each with one key.
+/// Returns a document with one service of `slots` slots and one team per name, each with one key.
 fn document(slots: u64, teams: &[&str]) -> SchemaDocument {
     let team = |name: &&str| {
         let digest = KeyDigest::of_key(format!("key of {name}").as_bytes());
@@ -27,7 +27,7 @@
     let content = ContentDigest::of_document(document);
     let record =
         RevisionRecord::of_external(Revision(revision), content, OperatorName::new("amina"));
-    state.apply_document(&record, document).expect("it follows");
+    state.apply_document(&record, document).expect("the newer revision applies");
 }
 
 fn state_of(documents: &[SchemaDocument]) -> ConfigState {
@@ -58,7 +58,7 @@
     let mut state = state_of(&[document(1, &["red", "blue"])]);
 
     let delta = source.delta_since(Revision(1)).expect("newer");
-    state.apply_delta(&delta).expect("it fits");
+    state.apply_delta(&delta).expect("the delta applies");
 
     assert_eq!(state.teams(), []);
     assert_eq!(state.document(), source.document());
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn without_teams_the_digest_of_a_configuration_is_what_it_was() {
+fn without_teams_the_digest_of_a_configuration_covers_only_its_services() {
     let document = document(1, &[]);
     let service =
         serde_json::json!(["test", [["a", ContentDigest::of_service(&document.services[0])]]]);
@@ -86,9 +86,9 @@
     assert_eq!(digest.to_string(), KeyDigest::of_key(service.to_string().as_bytes()).to_string());
 }
 
-/// Nodes that skip revisions and catch up from one another in any order end with the same teams.
+/// Nodes that skip revisions and catch up from each other in any order have the same teams in the end.
 #[test]
-fn whatever_the_way_of_a_revision_its_teams_are_the_same() {
+fn teams_are_the_same_in_whatever_order_nodes_catch_up() {
     const NAMES: [&str; 4] = ["red", "blue", "green", "amber"];
     for seed in 0..100 {
         let mut rng = Pcg64::seed_from_u64(seed);
@@ -102,7 +102,7 @@
                 let (from, to) = (rng.random_range(0..4), rng.random_range(0..4));
                 let held = nodes[to].revision();
                 let Some(delta) = nodes[from].delta_since(held) else { continue };
-                nodes[to].apply_delta(&delta).expect("it fits");
+                nodes[to].apply_delta(&delta).expect("the delta applies");
                 assert_eq!(nodes[to].document(), nodes[from].document(), "seed {seed}");
             }
         }
--- a/crates/coltsfootroute/tests/integration/revision/world.rs
+++ b/crates/coltsfootroute/tests/integration/revision/world.rs
@@ -1,4 +1,4 @@
-//! Operators, nodes and what is on its way between them and the table service.
+//! Simulated operators and nodes, with the messages in transit between them and the table service.
 
 use super::fake_table::FakeTable;
 use coltsfootroute::{
@@ -13,30 +13,30 @@
 };
 use indexmap::IndexMap;
 
-/// How one request to the table service fares.
+/// Delivery of one request to the table service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Delivery {
     Delivered,
-    /// Refused, provably not carried out.
+    /// Rejected and certainly not executed.
     Down,
-    /// Carried out, but the reply is lost.
+    /// Executed, but the reply is lost.
     ReplyLost,
-    /// Lost for now; a write may still arrive later.
+    /// Reported as uncertain; a write may arrive later.
     Delayed,
 }
 
-/// A submission under way.
+/// A submission with its next request and its result.
 #[derive(Debug)]
 pub struct Runner {
     pub request: SubmissionRequest,
     submission: Submission,
     pub next: Option<TableRequest>,
-    /// Writes sent so far.
+    /// Number of writes sent.
     pub writes: usize,
     pub result: Option<SubmissionResult>,
 }
 
-/// One life of a node.
+/// One incarnation of a node.
 #[derive(Debug, Default)]
 pub struct Node {
     pub state: ConfigState,
@@ -47,13 +47,13 @@
 pub struct World {
     pub table: FakeTable,
     pub runners: IndexMap<String, Runner>,
-    /// Writes that were lost on the way and may arrive at any time.
+    /// Delayed writes, which may arrive at any time.
     pub delayed: Vec<TableRequest>,
     pub nodes: IndexMap<String, Node>,
     pub deltas: IndexMap<String, ConfigDelta>,
 }
 
-/// A document with one service a line: name and slots.
+/// Parses a document with one service per line: name and slots.
 pub fn document(lines: &str) -> SchemaDocument {
     let service = |line: &str| {
         let (name, slots) = line.split_once(' ').expect("name and slots");
@@ -90,7 +90,7 @@
         self.runners.insert(name.to_owned(), runner);
     }
 
-    /// Carries one request of a submission; nothing if it is done.
+    /// Sends one request of a submission; does nothing if the submission is done.
     pub fn step(&mut self, name: &str, delivery: Delivery) {
         let runner = &mut self.runners[name];
         let Some(request) = runner.next.take() else {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Delayed writes arrive.
+    /// Delivers all delayed writes.
     pub fn deliver_delayed(&mut self) -> Vec<TableReply> {
         let delayed = std::mem::take(&mut self.delayed);
         delayed.iter().map(|request| self.table.execute(request)).collect()
@@ -118,7 +118,7 @@
         self.nodes.entry(name.to_owned()).or_default()
     }
 
-    /// A node reads the newest configuration from the table service.
+    /// Lets a node read the newest configuration from the table service.
     pub fn load(&mut self, name: &str) -> Result<ApplyOutcome, DeltaFault> {
         let mut reader = HeadReader::new();
         let mut request = reader.start();
