--- a/crates/coltsfoot-node/src/config/config_in_force.rs
+++ b/crates/coltsfoot-node/src/config/config_in_force.rs
@@ -91,7 +91,7 @@
 
     /// Services that the operations of `service` call.
     pub fn callees(&self, service: &ServiceName) -> Vec<ServiceName> {
-        self.document.called_by(service).into_iter().collect()
+        self.document.called_services(service).into_iter().collect()
     }
 
     /// Services that a run of the operation reaches, itself included.
@@ -105,7 +105,8 @@
         if let Some(services) = cache.get(service).and_then(|entry| entry.get(operation)) {
             return services.clone();
         }
-        let services: Arc<[_]> = self.document.reachable(service, operation).into_iter().collect();
+        let services: Arc<[_]> =
+            self.document.reachable_services(service, operation).into_iter().collect();
         let entry = cache.entry(service.clone()).or_default();
         entry.insert(operation.clone(), services.clone());
         services
--- a/crates/coltsfoot-slopes/src/slopes/decisions.rs
+++ b/crates/coltsfoot-slopes/src/slopes/decisions.rs
@@ -73,7 +73,7 @@
                 black_box(service.and_then(|service| service.operation(&operation)));
             })?,
         );
-        let reached = || drop(black_box(document.reachable(&names[0], &operation)));
+        let reached = || drop(black_box(document.reachable_services(&names[0], &operation)));
         reach.push(services as f64, mean_micros(reached)?);
     }
     Ok(vec![look_up, reach])
--- a/crates/coltsfoot-slopes/tests/integration/mesh.rs
+++ b/crates/coltsfoot-slopes/tests/integration/mesh.rs
@@ -30,7 +30,7 @@
     let document = sample_schema(490);
 
     let parsed = SchemaDocument::from_yaml(&document.to_yaml());
-    let reached = document.reachable(&ServiceName::new("service-0"), &operation_name(0));
+    let reached = document.reachable_services(&ServiceName::new("service-0"), &operation_name(0));
 
     assert_eq!(parsed.as_ref(), Ok(&document));
     assert!(reached.len() >= DEPTH, "{}", reached.len());
--- a/crates/coltsfootroute/src/schema.rs
+++ b/crates/coltsfootroute/src/schema.rs
@@ -17,8 +17,8 @@
 mod service_entry;
 mod source_fields;
 mod source_node;
-mod source_notes;
 mod source_reader;
+mod source_report;
 mod team_entry;
 
 pub use call_edge::CallEdge;
--- a/crates/coltsfootroute/src/schema/call_graph.rs
+++ b/crates/coltsfootroute/src/schema/call_graph.rs
@@ -12,20 +12,20 @@
 
 struct Vertex<'a> {
     /// Place of the service in the document, and of the operation in the service.
-    place: (usize, usize),
+    position: (usize, usize),
     operation: &'a OperationEntry,
 }
 
 impl Vertex<'_> {
     /// Written out for faults only: a graph is also built to find what an operation reaches.
     fn path(&self) -> String {
-        let (service, operation) = self.place;
+        let (service, operation) = self.position;
         format!("services[{service}].operations[{operation}]")
     }
 }
 
 /// What one walk over the whole graph finds.
-pub(super) struct GraphSurvey {
+pub(super) struct GraphAnalysis {
     /// One entry for each edge that closes a cycle.
     pub cycles: Vec<CallCycle>,
     /// Path of each client entry, and the calls of its longest chain with the client's own. Means nothing
@@ -48,9 +48,9 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Mark {
-    New,
-    UnderWay,
+enum VisitState {
+    Unvisited,
+    InProgress,
     /// Finished, with the calls of the longest chain from here.
     Depth(usize),
 }
@@ -62,14 +62,17 @@
         for (i, service) in services.iter().enumerate() {
             for (j, operation) in service.operations.iter().enumerate() {
                 let key = (&service.name, &operation.name);
-                vertices.entry(key).or_insert(Vertex { place: (i, j), operation });
+                vertices.entry(key).or_insert(Vertex { position: (i, j), operation });
             }
         }
         Self { vertices }
     }
 
     /// Operations that a run of the one at `start` leads to, itself first, each once.
-    pub fn reachable(&self, start: (&ServiceName, &OperationName)) -> Vec<&'a ServiceName> {
+    pub fn reachable_services(
+        &self,
+        start: (&ServiceName, &OperationName),
+    ) -> Vec<&'a ServiceName> {
         let mut found = indexmap::IndexSet::new();
         found.extend(self.vertices.get_index_of(&start));
         let mut position = 0;
@@ -81,49 +84,49 @@
     }
 
     /// Finds cycles and depths. Iterative, so that a long chain costs no stack.
-    pub fn survey(&self) -> GraphSurvey {
-        let mut marks = vec![Mark::New; self.vertices.len()];
+    pub fn analyze(&self) -> GraphAnalysis {
+        let mut states = vec![VisitState::Unvisited; self.vertices.len()];
         let mut cycles = Vec::new();
         for root in 0..self.vertices.len() {
-            if marks[root] == Mark::New {
-                self.walk(root, &mut marks, &mut cycles);
+            if states[root] == VisitState::Unvisited {
+                self.visit_from(root, &mut states, &mut cycles);
             }
         }
-        let client_depths = self.client_depths(&marks);
-        GraphSurvey { cycles, client_depths }
+        let client_depths = self.client_depths(&states);
+        GraphAnalysis { cycles, client_depths }
     }
 
-    fn walk(&self, root: usize, marks: &mut [Mark], cycles: &mut Vec<CallCycle>) {
+    fn visit_from(&self, root: usize, states: &mut [VisitState], cycles: &mut Vec<CallCycle>) {
         let mut stack = vec![Frame { vertex: root, next_call: 0 }];
-        marks[root] = Mark::UnderWay;
+        states[root] = VisitState::InProgress;
         while let Some(frame) = stack.last_mut() {
             let (vertex, index) = (frame.vertex, frame.next_call);
             frame.next_call += 1;
             let Some(call) = self.calls(vertex).get(index) else {
-                marks[vertex] = Mark::Depth(self.depth(vertex, marks));
+                states[vertex] = VisitState::Depth(self.depth(vertex, states));
                 stack.pop();
                 continue;
             };
             let Some(callee) = self.callee(call) else {
                 continue;
             };
-            match marks[callee] {
-                Mark::New => {
-                    marks[callee] = Mark::UnderWay;
+            match states[callee] {
+                VisitState::Unvisited => {
+                    states[callee] = VisitState::InProgress;
                     stack.push(Frame { vertex: callee, next_call: 0 });
                 }
-                Mark::UnderWay => cycles.push(self.cycle(&stack, callee, index)),
-                Mark::Depth(_) => {}
+                VisitState::InProgress => cycles.push(self.cycle(&stack, callee, index)),
+                VisitState::Depth(_) => {}
             }
         }
     }
 
     /// Calls of the longest chain from `vertex`, whose callees are all finished or on a cycle.
-    fn depth(&self, vertex: usize, marks: &[Mark]) -> usize {
+    fn depth(&self, vertex: usize, states: &[VisitState]) -> usize {
         let callees = self.calls(vertex).iter().filter_map(|call| self.callee(call));
-        let depths = callees.filter_map(|callee| match marks[callee] {
-            Mark::Depth(depth) => Some(depth),
-            Mark::New | Mark::UnderWay => None,
+        let depths = callees.filter_map(|callee| match states[callee] {
+            VisitState::Depth(depth) => Some(depth),
+            VisitState::Unvisited | VisitState::InProgress => None,
         });
         1 + depths.max().unwrap_or(0)
     }
@@ -139,11 +142,11 @@
         }
     }
 
-    fn client_depths(&self, marks: &[Mark]) -> Vec<(String, usize)> {
-        let vertices = self.vertices.values().zip(marks);
+    fn client_depths(&self, states: &[VisitState]) -> Vec<(String, usize)> {
+        let vertices = self.vertices.values().zip(states);
         vertices
-            .filter_map(|(vertex, mark)| match mark {
-                Mark::Depth(depth) if vertex.operation.client.is_some() => {
+            .filter_map(|(vertex, state)| match state {
+                VisitState::Depth(depth) if vertex.operation.client.is_some() => {
                     Some((format!("{}.client", vertex.path()), *depth))
                 }
                 _ => None,
--- a/crates/coltsfootroute/src/schema/route_table.rs
+++ b/crates/coltsfootroute/src/schema/route_table.rs
@@ -21,13 +21,13 @@
 struct RouteEntry {
     prefix: String,
     /// Weights are at least 1.
-    parts: Vec<RoutePart>,
-    /// Requests so far; its low bits choose the part.
+    targets: Vec<WeightedTarget>,
+    /// Requests so far; its low bits choose the target.
     counter: AtomicU64,
 }
 
 #[derive(Debug)]
-struct RoutePart {
+struct WeightedTarget {
     target: RouteTarget,
     weight: u64,
 }
@@ -40,7 +40,7 @@
 }
 
 impl RouteTable {
-    /// The routes that `document` declares. Nodes with different seeds begin at different parts, so that
+    /// The routes that `document` declares. Nodes with different seeds begin at different targets, so that
     /// few requests at each of many nodes are shared out as well.
     pub fn new(document: &SchemaDocument, seed: u64) -> Self {
         let mut table = Self::default();
@@ -68,43 +68,43 @@
         let routes = self.hosts.entry(host).or_default();
         let target =
             RouteTarget { service: service.name.clone(), operation: operation.name.clone() };
-        let part = RoutePart { target, weight: u64::from(path_match.weight.max(1)) };
+        let weighted = WeightedTarget { target, weight: u64::from(path_match.weight.max(1)) };
         match routes.iter_mut().find(|route| route.prefix == path_match.prefix) {
-            Some(route) => route.parts.push(part),
+            Some(route) => route.targets.push(weighted),
             None => routes.push(RouteEntry {
                 prefix: path_match.prefix.clone(),
-                parts: vec![part],
+                targets: vec![weighted],
                 counter: AtomicU64::new(seed),
             }),
         }
     }
 
     /// Where a request for `host` and `path` goes, `None` if no route begins its path. A port in `host`
-    /// is passed over. Each request is to be asked for once: the parts of a route are taken in turn, so
+    /// is passed over. Each request is to be asked for once: the targets of a route are taken in turn, so
     /// that their shares hold over any run of requests.
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteTarget> {
         let host = host.split(':').next().unwrap_or_default().to_ascii_lowercase();
         let routes = self.hosts.get(&host)?;
-        routes.iter().find(|route| path.starts_with(&route.prefix))?.next_part()
+        routes.iter().find(|route| path.starts_with(&route.prefix))?.next_target()
     }
 }
 
 impl RouteEntry {
-    fn next_part(&self) -> Option<&RouteTarget> {
-        let total: u64 = self.parts.iter().map(|part| part.weight).sum();
-        let turn = self.counter.fetch_add(1, Ordering::Relaxed);
-        // Steps of the golden ratio spread each part's turns evenly over the run.
-        let spread = (turn as u32).wrapping_mul(GOLDEN_STEP);
-        let mut place = (u64::from(spread) * total) >> u32::BITS;
-        for part in &self.parts {
-            if place < part.weight {
-                return Some(&part.target);
+    fn next_target(&self) -> Option<&RouteTarget> {
+        let total: u64 = self.targets.iter().map(|weighted| weighted.weight).sum();
+        let count = self.counter.fetch_add(1, Ordering::Relaxed);
+        // Steps of the golden ratio position each target's turns evenly over the run.
+        let position = (count as u32).wrapping_mul(GOLDEN_RATIO_STEP);
+        let mut offset = (u64::from(position) * total) >> u32::BITS;
+        for weighted in &self.targets {
+            if offset < weighted.weight {
+                return Some(&weighted.target);
             }
-            place -= part.weight;
+            offset -= weighted.weight;
         }
         None
     }
 }
 
 /// 2^32 divided by the golden ratio, made odd: multiples of it fall evenly into any division of the range.
-const GOLDEN_STEP: u32 = 2_654_435_769;
+const GOLDEN_RATIO_STEP: u32 = 2_654_435_769;
--- a/crates/coltsfootroute/src/schema/schema_change.rs
+++ b/crates/coltsfootroute/src/schema/schema_change.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether the item is added or removed with all it holds.
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_added_or_removed(&self) -> bool {
         self.before.is_none() || self.after.is_none()
     }
 }
--- a/crates/coltsfootroute/src/schema/schema_check.rs
+++ b/crates/coltsfootroute/src/schema/schema_check.rs
@@ -43,9 +43,9 @@
         for (index, service) in self.document.services.iter().enumerate() {
             let path = format!("services[{index}]");
             if !names.insert(&service.name) {
-                self.find(
+                self.add_finding(
                     format!("{path}.name"),
-                    format!("duplicate service `{}`", shortened(service.name.as_str())),
+                    format!("duplicate service `{}`", truncated(service.name.as_str())),
                 );
             }
             self.service(&path, service);
@@ -61,9 +61,9 @@
         for (index, operation) in service.operations.iter().enumerate() {
             let path = format!("{path}.operations[{index}]");
             if !names.insert(&operation.name) {
-                let name = shortened(operation.name.as_str());
+                let name = truncated(operation.name.as_str());
                 let message = format!("duplicate operation `{name}`");
-                self.find(format!("{path}.name"), message);
+                self.add_finding(format!("{path}.name"), message);
             }
             self.operation(&path, operation);
         }
@@ -87,19 +87,19 @@
     }
 
     fn teams(&mut self) {
-        let (mut names, mut holders) = (IndexSet::new(), IndexMap::new());
+        let (mut names, mut owners) = (IndexSet::new(), IndexMap::new());
         for (index, team) in self.document.teams.iter().enumerate() {
             let path = format!("teams[{index}]");
             self.name(&format!("{path}.name"), team.name.as_str());
             if !names.insert(&team.name) {
-                let message = format!("duplicate team `{}`", shortened(team.name.as_str()));
-                self.find(format!("{path}.name"), message);
+                let message = format!("duplicate team `{}`", truncated(team.name.as_str()));
+                self.add_finding(format!("{path}.name"), message);
             }
             if let Some(rate) = team.rate {
                 self.at_least_one(format!("{path}.rate.per_s"), rate.per_s.into());
             }
-            for (place, key) in team.keys.iter().enumerate() {
-                self.key(format!("{path}.keys[{place}]"), team, key, &mut holders);
+            for (position, key) in team.keys.iter().enumerate() {
+                self.key(format!("{path}.keys[{position}]"), team, key, &mut owners);
             }
         }
     }
@@ -109,57 +109,60 @@
         path: String,
         team: &'a TeamEntry,
         key: &'a KeyDigest,
-        holders: &mut IndexMap<&'a KeyDigest, &'a TeamName>,
+        owners: &mut IndexMap<&'a KeyDigest, &'a TeamName>,
     ) {
         if *key == KeyDigest::of_key(b"") {
-            self.find(path.clone(), "the digest of an empty key".to_owned());
+            self.add_finding(path.clone(), "the digest of an empty key".to_owned());
         }
-        if let Some(holder) = holders.insert(key, &team.name) {
-            let holder = shortened(holder.as_str());
-            self.find(path, format!("duplicate key: `{holder}` holds it as well"));
+        if let Some(owner) = owners.insert(key, &team.name) {
+            let owner = truncated(owner.as_str());
+            self.add_finding(path, format!("duplicate key: `{owner}` holds it as well"));
         }
     }
 
     fn path_match(&mut self, path: &str, operation: &OperationEntry, path_match: &PathMatch) {
         self.at_least_one(format!("{path}.weight"), path_match.weight.into());
         if path_match.host.is_empty() {
-            self.find(format!("{path}.host"), "empty: expected the host that requests name".into());
+            self.add_finding(
+                format!("{path}.host"),
+                "empty: expected the host that requests name".into(),
+            );
         }
         let prefix = &path_match.prefix;
         if !prefix.starts_with('/') || !prefix.ends_with('/') {
-            let message = format!("`{}`: expected `/` at both ends", shortened(prefix));
-            self.find(format!("{path}.prefix"), message);
+            let message = format!("`{}`: expected `/` at both ends", truncated(prefix));
+            self.add_finding(format!("{path}.prefix"), message);
         }
         if operation.client.is_none() {
             let message = "expected the field `client` beside it".to_owned();
-            self.find(path.to_owned(), message);
+            self.add_finding(path.to_owned(), message);
         }
     }
 
     fn call(&mut self, path: &str, call: &CallEdge) {
         self.at_least_one(format!("{path}.fan_out"), call.fan_out.into());
         let Some(operations) = self.declared.get(&call.service) else {
-            let message = format!("undeclared service `{}`", shortened(call.service.as_str()));
-            return self.find(format!("{path}.service"), message);
+            let message = format!("undeclared service `{}`", truncated(call.service.as_str()));
+            return self.add_finding(format!("{path}.service"), message);
         };
         if !operations.contains(&call.operation) {
-            let operation = shortened(call.operation.as_str());
+            let operation = truncated(call.operation.as_str());
             let message = format!("undeclared operation `{operation}` of `{}`", call.service);
-            self.find(format!("{path}.operation"), message);
+            self.add_finding(format!("{path}.operation"), message);
         }
     }
 
     fn graph(&mut self) {
         let graph = CallGraph::new(&self.document.services);
-        let survey = graph.survey();
-        for cycle in &survey.cycles {
+        let analysis = graph.analyze();
+        for cycle in &analysis.cycles {
             let message = format!("cycle of calls: {}", cycle.chain.join(" -> "));
-            self.find(cycle.closing_edge.clone(), message);
+            self.add_finding(cycle.closing_edge.clone(), message);
         }
-        for (path, depth) in survey.client_depths {
+        for (path, depth) in analysis.client_depths {
             if depth > MAX_CHAIN_DEPTH {
                 let message = format!("chain of {depth} calls: expected at most {MAX_CHAIN_DEPTH}");
-                self.find(path, message);
+                self.add_finding(path, message);
             }
         }
     }
@@ -169,19 +172,19 @@
         if !(1..=MAX_NAME_BYTES).contains(&name.len()) || !name.bytes().all(is_known) {
             let message = format!(
                 "bad name `{}`: expected 1 to {MAX_NAME_BYTES} of a-z, 0-9 and `-`",
-                shortened(name)
+                truncated(name)
             );
-            self.find(path.to_owned(), message);
+            self.add_finding(path.to_owned(), message);
         }
     }
 
     fn at_least_one(&mut self, path: String, number: u64) {
         if number == 0 {
-            self.find(path, "0: expected at least 1".to_owned());
+            self.add_finding(path, "0: expected at least 1".to_owned());
         }
     }
 
-    fn find(&mut self, path: String, message: String) {
+    fn add_finding(&mut self, path: String, message: String) {
         self.findings.push((path, message));
     }
 }
@@ -196,6 +199,6 @@
 }
 
 /// The start of a name, so that a hostile one doesn't fill the answer.
-fn shortened(name: &str) -> String {
+fn truncated(name: &str) -> String {
     name.chars().take(MAX_NAME_BYTES).flat_map(char::escape_debug).collect()
 }
--- a/crates/coltsfootroute/src/schema/schema_diff.rs
+++ b/crates/coltsfootroute/src/schema/schema_diff.rs
@@ -18,17 +18,17 @@
 impl SchemaDiff {
     /// What changed from `old` to `new`.
     pub fn between(old: &SchemaDocument, new: &SchemaDocument) -> Self {
-        let (old, new) = (flattened(old), flattened(new));
-        let news = new.keys().filter(|item| !old.contains_key(*item));
+        let (old, new) = (flatten(old), flatten(new));
+        let added = new.keys().filter(|item| !old.contains_key(*item));
         let mut changes = Vec::new();
-        let mut whole = IndexSet::new();
-        for item in old.keys().chain(news) {
+        let mut added_or_removed = IndexSet::new();
+        for item in old.keys().chain(added) {
             let change = SchemaChange::new(item, old.get(item), new.get(item));
-            if change.before == change.after || lies_within(&whole, item) {
+            if change.before == change.after || is_within_any(&added_or_removed, item) {
                 continue;
             }
-            if change.is_whole() {
-                whole.insert(item.clone());
+            if change.is_added_or_removed() {
+                added_or_removed.insert(item.clone());
             }
             changes.push(change);
         }
@@ -41,15 +41,15 @@
     }
 }
 
-/// Whether `item` lies within one of `whole`, things added or removed as a whole.
-fn lies_within(whole: &IndexSet<String>, item: &str) -> bool {
+/// Whether `item` lies within one of `whole`, things added or removed as a added_or_removed.
+fn is_within_any(added_or_removed: &IndexSet<String>, item: &str) -> bool {
     std::iter::successors(Some(item), |item| item.rfind(['.', '/', ' ']).map(|end| &(*item)[..end]))
         .skip(1)
-        .any(|item| whole.contains(item))
+        .any(|item| added_or_removed.contains(item))
 }
 
 /// Every item of a document with its value as text; a service or operation itself has an empty one.
-fn flattened(document: &SchemaDocument) -> IndexMap<String, String> {
+fn flatten(document: &SchemaDocument) -> IndexMap<String, String> {
     let mut items = IndexMap::new();
     items.insert("deployment".to_owned(), document.deployment.clone());
     for service in &document.services {
--- a/crates/coltsfootroute/src/schema/schema_document.rs
+++ b/crates/coltsfootroute/src/schema/schema_document.rs
@@ -29,20 +29,20 @@
     /// Services that a run of this operation may involve at any depth, its own first, each once; empty if
     /// the operation is undeclared. Walks the whole document: for use when a configuration is put in force,
     /// not for each call.
-    pub fn reachable(
+    pub fn reachable_services(
         &self,
         service: &ServiceName,
         operation: &OperationName,
     ) -> IndexSet<ServiceName> {
         CallGraph::new(&self.services)
-            .reachable((service, operation))
+            .reachable_services((service, operation))
             .into_iter()
             .cloned()
             .collect()
     }
 
     /// Services that operations of `service` call directly, each once.
-    pub fn called_by(&self, service: &ServiceName) -> IndexSet<ServiceName> {
+    pub fn called_services(&self, service: &ServiceName) -> IndexSet<ServiceName> {
         let operations = self.service(service).into_iter().flat_map(|service| &service.operations);
         operations.flat_map(|operation| &operation.calls).map(|call| call.service.clone()).collect()
     }
--- a/crates/coltsfootroute/src/schema/schema_errors.rs
+++ b/crates/coltsfootroute/src/schema/schema_errors.rs
@@ -26,13 +26,13 @@
         let rest = errors.len().saturating_sub(MAX_SCHEMA_ERRORS);
         errors.truncate(MAX_SCHEMA_ERRORS);
         if rest > 0 {
-            errors.push(unlisted(rest));
+            errors.push(unlisted_errors(rest));
         }
         Self { errors }
     }
 }
 
-fn unlisted(rest: usize) -> SchemaError {
+fn unlisted_errors(rest: usize) -> SchemaError {
     let message = format!("{rest} further faults are not listed");
     SchemaError { line: 0, column: 0, field: String::new(), message }
 }
--- a/crates/coltsfootroute/src/schema/schema_parser.rs
+++ b/crates/coltsfootroute/src/schema/schema_parser.rs
@@ -4,8 +4,8 @@
     SchemaDocument, SchemaError, SchemaErrors,
     schema_check::SchemaCheck,
     source_node::{SourceNode, SourceValue},
-    source_notes::SourceNotes,
     source_reader::SourceReader,
+    source_report::SourceReport,
 };
 use indexmap::{IndexMap, IndexSet};
 
@@ -28,15 +28,15 @@
     /// beyond the bounds, gives the first fault only: nothing after it can be trusted.
     pub fn from_yaml(text: &str) -> Result<Self, SchemaErrors> {
         if text.len() > MAX_SCHEMA_BYTES {
-            return Err(oversize(text.len()));
+            return Err(size_error(text.len()));
         }
         let root: SourceNode = serde_saphyr::from_str_with_options(text, bounded_options())
-            .map_err(|error| syntax(&error))?;
+            .map_err(|error| syntax_error(&error))?;
         let mut reader = SourceReader::default();
         let document = reader.document(&root);
-        let SourceNotes { mut errors, places } = reader.notes;
+        let SourceReport { mut errors, locations } = reader.report;
         if matches!(root.value, SourceValue::Map(_)) {
-            errors.extend(faults_of_meaning(&document, &errors, &places));
+            errors.extend(semantic_errors(&document, &errors, &locations));
         }
         if errors.is_empty() { Ok(document) } else { Err(SchemaErrors::new(errors)) }
     }
@@ -68,29 +68,30 @@
     }
 }
 
-fn oversize(len: usize) -> SchemaErrors {
+fn size_error(len: usize) -> SchemaErrors {
     let message = format!("{len} bytes: expected at most {MAX_SCHEMA_BYTES}");
     SchemaErrors::new(vec![SchemaError { line: 0, column: 0, field: String::new(), message }])
 }
 
-fn syntax(error: &serde_saphyr::Error) -> SchemaErrors {
-    let (line, column) = error.location().map_or((0, 0), |place| (place.line(), place.column()));
+fn syntax_error(error: &serde_saphyr::Error) -> SchemaErrors {
+    let (line, column) =
+        error.location().map_or((0, 0), |location| (location.line(), location.column()));
     let message = error.without_snippet().to_string();
     SchemaErrors::new(vec![SchemaError { line, column, field: String::new(), message }])
 }
 
 /// Faults of meaning, but for those at or within a field whose form is wrong: its value is a stand-in.
-fn faults_of_meaning(
+fn semantic_errors(
     document: &SchemaDocument,
-    faults_of_form: &[SchemaError],
-    places: &IndexMap<String, (u64, u64)>,
+    structural_errors: &[SchemaError],
+    locations: &IndexMap<String, (u64, u64)>,
 ) -> Vec<SchemaError> {
     let reported: IndexSet<&str> =
-        faults_of_form.iter().map(|error| error.field.as_str()).collect();
+        structural_errors.iter().map(|error| error.field.as_str()).collect();
     SchemaCheck::run(document)
         .into_iter()
         .filter(|(field, _)| !enclosing_paths(field).any(|path| reported.contains(path)))
-        .map(|(field, message)| placed(places, field, message))
+        .map(|(field, message)| locate_error(locations, field, message))
         .collect()
 }
 
@@ -100,8 +101,12 @@
 }
 
 /// Gives a fault its place: that of the field, or of the nearest thing around it that the text holds.
-fn placed(places: &IndexMap<String, (u64, u64)>, field: String, message: String) -> SchemaError {
-    let place = enclosing_paths(&field).chain([""]).find_map(|path| places.get(path));
-    let (line, column) = place.copied().unwrap_or_default();
+fn locate_error(
+    locations: &IndexMap<String, (u64, u64)>,
+    field: String,
+    message: String,
+) -> SchemaError {
+    let location = enclosing_paths(&field).chain([""]).find_map(|path| locations.get(path));
+    let (line, column) = location.copied().unwrap_or_default();
     SchemaError { line, column, field, message }
 }
--- a/crates/coltsfootroute/src/schema/source_fields.rs
+++ b/crates/coltsfootroute/src/schema/source_fields.rs
@@ -2,14 +2,14 @@
 
 use super::{
     source_node::{SourceNode, SourceValue},
-    source_notes::SourceNotes,
+    source_report::SourceReport,
 };
 use indexmap::IndexMap;
 use std::{fmt::Display, str::FromStr};
 
-/// Reads the fields of one mapping; notes unknown, duplicate, missing and mistyped ones.
+/// Reads the fields of one mapping and reports unknown, duplicate, missing and mistyped ones.
 pub(super) struct SourceFields<'a, 'r> {
-    notes: &'r mut SourceNotes,
+    report: &'r mut SourceReport,
     node: &'a SourceNode,
     path: String,
     fields: IndexMap<&'a str, &'a SourceNode>,
@@ -20,20 +20,20 @@
 impl<'a, 'r> SourceFields<'a, 'r> {
     /// Opens `node`, whose path is `path`, and reports keys not in `known`.
     pub fn new(
-        notes: &'r mut SourceNotes,
+        report: &'r mut SourceReport,
         node: &'a SourceNode,
         path: &str,
         known: &[&str],
     ) -> Self {
-        notes.places.insert(path.to_owned(), (node.line, node.column));
+        report.locations.insert(path.to_owned(), (node.line, node.column));
         let mut fields =
-            Self { notes, node, path: path.to_owned(), fields: IndexMap::new(), is_map: true };
+            Self { report, node, path: path.to_owned(), fields: IndexMap::new(), is_map: true };
         match &node.value {
             SourceValue::Map(entries) => fields.open(entries, known),
             other => {
                 fields.is_map = false;
                 let message = format!("expected a mapping, found {}", other.kind());
-                fields.report(node, path.to_owned(), message);
+                fields.add_error(node, path.to_owned(), message);
             }
         }
         fields
@@ -43,17 +43,17 @@
         for (key, value) in entries {
             let SourceValue::Text(name) = &key.value else {
                 let message = format!("expected a field name, found {}", key.value.kind());
-                self.report(key, self.path.clone(), message);
+                self.add_error(key, self.path.clone(), message);
                 continue;
             };
-            let path = self.path_of(name);
+            let path = self.field_path(name);
             if !known.contains(&name.as_str()) {
                 let message = format!("unknown field: expected one of {}", known.join(", "));
-                self.report(key, path, message);
+                self.add_error(key, path, message);
             } else if self.fields.insert(name, value).is_some() {
-                self.report(key, path, "duplicate field".to_owned());
+                self.add_error(key, path, "duplicate field".to_owned());
             } else {
-                self.notes.places.insert(path, (value.line, value.column));
+                self.report.locations.insert(path, (value.line, value.column));
             }
         }
     }
@@ -63,7 +63,7 @@
         match self.required(name).map(|node| (node, &node.value)) {
             Some((_, SourceValue::Text(text))) => text.clone(),
             Some((node, other)) => {
-                self.mistyped(node, name, "text", other);
+                self.add_type_error(node, name, "text", other);
                 String::new()
             }
             None => String::new(),
@@ -79,7 +79,7 @@
         match node.map(|node| (node, &node.value)) {
             Some((_, SourceValue::Number(number))) => *number,
             Some((node, other)) => {
-                self.mistyped(node, name, "a whole number from 0", other);
+                self.add_type_error(node, name, "a whole number from 0", other);
                 0
             }
             None => 0,
@@ -92,7 +92,7 @@
         u32::try_from(number).unwrap_or_else(|_| {
             let message = format!("{number}: expected at most {}", u32::MAX);
             let node = self.fields.get(name).copied().unwrap_or(self.node);
-            self.report(node, self.path_of(name), message);
+            self.add_error(node, self.field_path(name), message);
             u32::MAX
         })
     }
@@ -107,7 +107,7 @@
         match self.fields.get(name).copied().map(|node| (node, &node.value)) {
             Some((_, SourceValue::Flag(flag))) => *flag,
             Some((node, other)) => {
-                self.mistyped(node, name, "true or false", other);
+                self.add_type_error(node, name, "true or false", other);
                 default
             }
             None => default,
@@ -123,7 +123,7 @@
                 if let Some(node) = self.fields.get(name).copied()
                     && matches!(node.value, SourceValue::Text(_))
                 {
-                    self.report(node, self.path_of(name), error.to_string());
+                    self.add_error(node, self.field_path(name), error.to_string());
                 }
                 None
             }
@@ -132,16 +132,16 @@
 
     /// The node of an optional field, with its path.
     pub fn optional(&self, name: &str) -> Option<(String, &'a SourceNode)> {
-        self.fields.get(name).map(|node| (self.path_of(name), *node))
+        self.fields.get(name).map(|node| (self.field_path(name), *node))
     }
 
     /// A list, with its path.
     pub fn list(&mut self, name: &str, required: bool) -> Option<(String, &'a [SourceNode])> {
         let node = if required { self.required(name)? } else { self.fields.get(name).copied()? };
         match &node.value {
-            SourceValue::List(items) => Some((self.path_of(name), items)),
+            SourceValue::List(items) => Some((self.field_path(name), items)),
             other => {
-                self.mistyped(node, name, "a list", other);
+                self.add_type_error(node, name, "a list", other);
                 None
             }
         }
@@ -150,21 +150,27 @@
     fn required(&mut self, name: &str) -> Option<&'a SourceNode> {
         let node = self.fields.get(name).copied();
         if node.is_none() && self.is_map {
-            self.report(self.node, self.path_of(name), "missing field".to_owned());
+            self.add_error(self.node, self.field_path(name), "missing field".to_owned());
         }
         node
     }
 
-    fn mistyped(&mut self, node: &SourceNode, name: &str, expected: &str, found: &SourceValue) {
+    fn add_type_error(
+        &mut self,
+        node: &SourceNode,
+        name: &str,
+        expected: &str,
+        found: &SourceValue,
+    ) {
         let message = format!("expected {expected}, found {}", found.kind());
-        self.report(node, self.path_of(name), message);
+        self.add_error(node, self.field_path(name), message);
     }
 
-    fn report(&mut self, node: &SourceNode, field: String, message: String) {
-        self.notes.report(node, field, message);
+    fn add_error(&mut self, node: &SourceNode, field: String, message: String) {
+        self.report.add_error(node, field, message);
     }
 
-    fn path_of(&self, name: &str) -> String {
+    fn field_path(&self, name: &str) -> String {
         if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
     }
 }
--- a/crates/coltsfootroute/src/schema/source_node.rs
+++ b/crates/coltsfootroute/src/schema/source_node.rs
@@ -47,8 +47,8 @@
 impl<'de> Deserialize<'de> for SourceNode {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let spanned = Spanned::<SourceValue>::deserialize(deserializer)?;
-        let place = spanned.referenced;
-        Ok(Self { line: place.line(), column: place.column(), value: spanned.value })
+        let location = spanned.referenced;
+        Ok(Self { line: location.line(), column: location.column(), value: spanned.value })
     }
 }
 
--- a/crates/coltsfootroute/tests/integration/schema.rs
+++ b/crates/coltsfootroute/tests/integration/schema.rs
@@ -188,8 +188,8 @@
     let document = parsed(ANGA);
     let (service, operation) = (ServiceName::new("licences"), OperationName::new("renew"));
 
-    let reachable = document.reachable(&service, &operation);
-    let called = document.called_by(&service);
+    let reachable = document.reachable_services(&service, &operation);
+    let called = document.called_services(&service);
 
     assert_eq!(names(reachable), ["licences", "renewals", "medicals", "logbook"]);
     assert_eq!(names(called), ["medicals", "renewals"]);
