--- a/crates/coltsfootroute/src/schema.rs
+++ b/crates/coltsfootroute/src/schema.rs
@@ -1,4 +1,4 @@
-//! The schema an operator submits: services, operations, the call graph and what matters most.
+//! Schema that an operator submits: services, operations, the call graph, teams and importance.
 
 mod call_edge;
 mod call_graph;
--- a/crates/coltsfootroute/src/schema/call_edge.rs
+++ b/crates/coltsfootroute/src/schema/call_edge.rs
@@ -1,4 +1,4 @@
-//! An edge of the call graph.
+//! Edge of the call graph.
 
 use crate::name::{OperationName, ServiceName};
 
--- a/crates/coltsfootroute/src/schema/call_graph.rs
+++ b/crates/coltsfootroute/src/schema/call_graph.rs
@@ -1,47 +1,47 @@
-//! The call graph that a document declares, by operation.
+//! Call graph between the operations that a document declares.
 
 use super::{CallEdge, OperationEntry, ServiceEntry};
 use crate::name::{OperationName, ServiceName};
 use indexmap::IndexMap;
 
-/// The operations of a document and the nested calls between them. Calls of undeclared operations are
-/// left out.
+/// Operations of a document and the nested calls between them. Calls to undeclared operations are omitted.
 pub(super) struct CallGraph<'a> {
     vertices: IndexMap<(&'a ServiceName, &'a OperationName), Vertex<'a>>,
 }
 
 struct Vertex<'a> {
-    /// Place of the service in the document, and of the operation in the service.
+    /// Index of the service in the document, and of the operation in the service.
     position: (usize, usize),
     operation: &'a OperationEntry,
 }
 
 impl Vertex<'_> {
-    /// Written out for faults only: a graph is also built to find what an operation reaches.
+    /// Returns the path of the operation in the document. Formatted on demand, since only faults need it: a graph is
+    /// also built to find the services that an operation reaches.
     fn path(&self) -> String {
         let (service, operation) = self.position;
         format!("services[{service}].operations[{operation}]")
     }
 }
 
-/// What one walk over the whole graph finds.
+/// Result of one traversal of the whole graph.
 pub(super) struct GraphAnalysis {
     /// One entry for each edge that closes a cycle.
     pub cycles: Vec<CallCycle>,
-    /// Path of each client entry, and the calls of its longest chain with the client's own. Means nothing
-    /// for chains that run into a cycle.
+    /// Path of each client entry and the number of calls in its longest chain, including the client's own. Meaningless
+    /// for chains that lead into a cycle.
     pub client_depths: Vec<(String, usize)>,
 }
 
-/// A cycle of calls.
+/// Cycle of calls.
 pub(super) struct CallCycle {
-    /// Path of the edge that closes it.
+    /// Path of the edge that closes the cycle.
     pub closing_edge: String,
-    /// Operations on it, the first repeated at the end.
+    /// Operations on the cycle, with the first one repeated at the end.
     pub chain: Vec<String>,
 }
 
-/// A vertex under way in the depth-first walk.
+/// Stack frame of the depth-first traversal: a vertex whose calls are being visited.
 struct Frame {
     vertex: usize,
     next_call: usize,
@@ -51,12 +51,13 @@
 enum VisitState {
     Unvisited,
     InProgress,
-    /// Finished, with the calls of the longest chain from here.
+    /// Finished, with the number of calls in the longest chain from this vertex.
     Depth(usize),
 }
 
 impl<'a> CallGraph<'a> {
-    /// Indexes the `services` of a document; of operations declared twice the first counts.
+    /// Creates a graph of the `services` of a document. If an operation is declared twice, the first declaration is
+    /// used.
     pub fn new(services: &'a [ServiceEntry]) -> Self {
         let mut vertices = IndexMap::new();
         for (i, service) in services.iter().enumerate() {
@@ -68,7 +69,8 @@
         Self { vertices }
     }
 
-    /// Operations that a run of the one at `start` leads to, itself first, each once.
+    /// Returns the service of each operation that a run of `start` may call at any depth, `start` itself first. Each
+    /// operation is visited once.
     pub fn reachable_services(
         &self,
         start: (&ServiceName, &OperationName),
@@ -83,7 +85,7 @@
         found.into_iter().map(|vertex| self.service(vertex)).collect()
     }
 
-    /// Finds cycles and depths. Iterative, so that a long chain costs no stack.
+    /// Finds cycles and chain depths. Iterative, so that a long chain can't overflow the stack.
     pub fn analyze(&self) -> GraphAnalysis {
         let mut states = vec![VisitState::Unvisited; self.vertices.len()];
         let mut cycles = Vec::new();
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Calls of the longest chain from `vertex`, whose callees are all finished or on a cycle.
+    /// Returns the number of calls in the longest chain from `vertex`, whose callees are all finished or on a cycle.
     fn depth(&self, vertex: usize, states: &[VisitState]) -> usize {
         let callees = self.calls(vertex).iter().filter_map(|call| self.callee(call));
         let depths = callees.filter_map(|callee| match states[callee] {
--- a/crates/coltsfootroute/src/schema/client_entry.rs
+++ b/crates/coltsfootroute/src/schema/client_entry.rs
@@ -1,4 +1,4 @@
-//! How clients may call an operation.
+//! Settings of client requests to an operation.
 
 use crate::importance::Importance;
 
@@ -20,7 +20,7 @@
     }
 }
 
-// The form that serde asks for.
+// `skip_serializing_if` requires a function that takes a reference.
 #[allow(clippy::trivially_copy_pass_by_ref)]
 fn is_false(flag: &bool) -> bool {
     !flag
--- a/crates/coltsfootroute/src/schema/operation_entry.rs
+++ b/crates/coltsfootroute/src/schema/operation_entry.rs
@@ -1,4 +1,4 @@
-//! An operation as declared.
+//! Declaration of an operation.
 
 use super::{CallEdge, ClientEntry, PathMatch};
 use crate::name::OperationName;
--- a/crates/coltsfootroute/src/schema/path_match.rs
+++ b/crates/coltsfootroute/src/schema/path_match.rs
@@ -1,4 +1,4 @@
-//! Requests by host and path that reach an operation.
+//! Match of requests to an operation by host and path.
 
 record_type! {
     /// Requests that reach an operation by their host and path, beside `/call/{service}/{operation}`.
--- a/crates/coltsfootroute/src/schema/rate_limit.rs
+++ b/crates/coltsfootroute/src/schema/rate_limit.rs
@@ -1,4 +1,4 @@
-//! A bound on the requests of a team.
+//! Limit on the request rate of a team.
 
 value_type! {
     /// A bound on requests: over any time, at most `per_s` a second and `burst` on top.
--- a/crates/coltsfootroute/src/schema/route_table.rs
+++ b/crates/coltsfootroute/src/schema/route_table.rs
@@ -1,4 +1,4 @@
-//! Finds the operation that a request reaches by its host and path.
+//! Lookup of the operation for a request by its host and path.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -7,22 +7,22 @@
 use super::{OperationEntry, PathMatch, SchemaDocument, ServiceEntry};
 use crate::name::{OperationName, ServiceName};
 
-/// An operation of a service.
+/// Operation of a service to which a route leads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// The operation.
+    /// Name of the operation.
     pub operation: OperationName,
 }
 
-/// One host and prefix, and where its requests go.
+/// Route of one host and path prefix, with the targets of its requests.
 #[derive(Debug, Default)]
 struct RouteEntry {
     prefix: String,
-    /// Weights are at least 1.
+    /// Targets, each with a weight of at least 1.
     targets: Vec<WeightedTarget>,
-    /// Requests so far; its low bits choose the target.
+    /// Number of requests, offset by the seed; its low 32 bits select the target.
     counter: AtomicU64,
 }
 
@@ -32,7 +32,7 @@
     weight: u64,
 }
 
-/// Finds the operation that a request reaches by its host and path. Made once for each configuration.
+/// Maps the host and path of a request to an operation. Built once for each configuration.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     /// Routes of each host, longest prefix first.
@@ -40,8 +40,8 @@
 }
 
 impl RouteTable {
-    /// The routes that `document` declares. Nodes with different seeds begin at different targets, so that
-    /// few requests at each of many nodes are shared out as well.
+    /// Builds the table of the routes that `document` declares. Nodes with different seeds start at different targets,
+    /// so that the shares also hold when each of many nodes receives only a few requests.
     pub fn new(document: &SchemaDocument, seed: u64) -> Self {
         let mut table = Self::default();
         for service in &document.services {
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Where a request for `host` and `path` goes, `None` if no route begins its path. A port in `host`
-    /// is passed over. Each request is to be asked for once: the targets of a route are taken in turn, so
-    /// that their shares hold over any run of requests.
+    /// Returns the target of a request for `host` and `path`; `None` if no route's prefix matches. Ignores a port in
+    /// `host`. Call this once per request: each call advances the rotation over the route's targets, which keeps their
+    /// shares over any sequence of requests.
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteTarget> {
         let host = host.split(':').next().unwrap_or_default().to_ascii_lowercase();
         let routes = self.hosts.get(&host)?;
@@ -93,7 +93,7 @@
     fn next_target(&self) -> Option<&RouteTarget> {
         let total: u64 = self.targets.iter().map(|weighted| weighted.weight).sum();
         let count = self.counter.fetch_add(1, Ordering::Relaxed);
-        // Steps of the golden ratio position each target's turns evenly over the run.
+        // Multiples of the golden ratio distribute each target's requests evenly over the sequence.
         let position = (count as u32).wrapping_mul(GOLDEN_RATIO_STEP);
         let mut offset = (u64::from(position) * total) >> u32::BITS;
         for weighted in &self.targets {
@@ -106,5 +106,6 @@
     }
 }
 
-/// 2^32 divided by the golden ratio, made odd: multiples of it fall evenly into any division of the range.
+/// 2^32 divided by the golden ratio, rounded to an odd number: its multiples are distributed evenly over any partition
+/// of the range.
 const GOLDEN_RATIO_STEP: u32 = 2_654_435_769;
--- a/crates/coltsfootroute/src/schema/schema_change.rs
+++ b/crates/coltsfootroute/src/schema/schema_change.rs
@@ -1,29 +1,30 @@
-//! One difference between two schemas.
+//! Single change between two schemas.
 
 use std::fmt;
 
 record_type! {
-    /// One change. A service or operation that is added or removed is one change, its fields aren't listed.
+    /// Single change between two schemas. A service or operation that is added or removed is one change, whose fields
+    /// aren't listed.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct SchemaChange {
-        /// What changed: `deployment`, `service a`, `service a/operation`, `service a/operation -> b/callee`,
+        /// Changed item: `deployment`, `service a`, `service a/operation`, `service a/operation -> b/callee`,
         /// `team a`, or a `.field` of one.
         pub item: String,
         /// Value before; `None` if the item is new.
         pub before: Option<String>,
-        /// Value after; `None` if the item is gone.
+        /// Value after; `None` if the item was removed.
         pub after: Option<String>,
     }
 }
 
 impl SchemaChange {
-    /// A change of `item`.
+    /// Creates a change of `item`.
     pub(super) fn new(item: &str, before: Option<&String>, after: Option<&String>) -> Self {
         Self { item: item.to_owned(), before: before.cloned(), after: after.cloned() }
     }
 
-    /// Whether the item is added or removed with all it holds.
+    /// Returns whether the item was added or removed with all its contents.
     pub(super) fn is_added_or_removed(&self) -> bool {
         self.before.is_none() || self.after.is_none()
     }
--- a/crates/coltsfootroute/src/schema/schema_check.rs
+++ b/crates/coltsfootroute/src/schema/schema_check.rs
@@ -1,4 +1,4 @@
-//! Checks of meaning, on a document whose form is right.
+//! Semantic checks of a parsed document.
 
 use super::{
     CallEdge, OperationEntry, PathMatch, SchemaDocument, ServiceEntry, TeamEntry,
@@ -10,25 +10,25 @@
 };
 use indexmap::{IndexMap, IndexSet};
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Longest chain of calls under a client operation, the client's own call included.
+/// Maximum number of calls in a chain that starts at a client operation, including the client's own call.
 pub const MAX_CHAIN_DEPTH: usize = 32;
 
-/// A field's path and what is wrong with it.
+/// Path of a field and a description of its fault.
 type Finding = (String, String);
 
-/// Gathers the faults of one document.
+/// Collects the semantic faults of one document.
 pub(super) struct SchemaCheck<'a> {
     document: &'a SchemaDocument,
-    /// Operations by service.
+    /// Declared operations by service.
     declared: IndexMap<&'a ServiceName, IndexSet<&'a OperationName>>,
     findings: Vec<Finding>,
 }
 
 impl<'a> SchemaCheck<'a> {
-    /// Every fault of `document`.
+    /// Returns every semantic fault of `document`.
     pub fn run(document: &'a SchemaDocument) -> Vec<Finding> {
         let mut check = Self { document, declared: declared(document), findings: Vec::new() };
         check.name("deployment", &document.deployment);
@@ -75,7 +75,7 @@
             self.at_least_one(format!("{path}.most_attempts"), most_attempts.into());
         }
         if let Some(client) = &operation.client {
-            // A retry budget of 0 is meaningful: the request is never retried.
+            // A retry budget of 0 is valid: the request is never retried.
             self.at_least_one(format!("{path}.client.deadline_ms"), client.deadline_ms);
         }
         for (index, path_match) in operation.matches.iter().enumerate() {
@@ -198,7 +198,7 @@
     declared
 }
 
-/// The start of a name, so that a hostile one doesn't fill the answer.
+/// Truncates and escapes a name, so that a hostile one can't inflate the response.
 fn truncated(name: &str) -> String {
     name.chars().take(MAX_NAME_BYTES).flat_map(char::escape_debug).collect()
 }
--- a/crates/coltsfootroute/src/schema/schema_diff.rs
+++ b/crates/coltsfootroute/src/schema/schema_diff.rs
@@ -1,22 +1,21 @@
-//! Difference between two schemas.
+//! Readable difference between two schemas.
 
 use super::{OperationEntry, SchemaChange, SchemaDocument, ServiceEntry, TeamEntry};
 use indexmap::{IndexMap, IndexSet};
 use std::fmt;
 
 record_type! {
-    /// What changed from one schema to another, in readable terms; the order of declarations doesn't
-    /// count.
+    /// Changes from one schema to another, as readable text. Ignores the order of declarations.
     #[derive(Default, serde::Serialize, serde::Deserialize)]
     #[serde(transparent)]
     pub struct SchemaDiff {
-        /// The changes: first those to things that the old schema has, in its order.
+        /// Changes: first those to items of the old schema, in its order, then the added items.
         pub changes: Vec<SchemaChange>,
     }
 }
 
 impl SchemaDiff {
-    /// What changed from `old` to `new`.
+    /// Returns the changes from `old` to `new`.
     pub fn between(old: &SchemaDocument, new: &SchemaDocument) -> Self {
         let (old, new) = (flatten(old), flatten(new));
         let added = new.keys().filter(|item| !old.contains_key(*item));
@@ -35,20 +34,20 @@
         Self { changes }
     }
 
-    /// Whether nothing changed.
+    /// Returns whether there are no changes.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 }
 
-/// Whether `item` lies within one of `whole`, things added or removed as a added_or_removed.
+/// Returns whether `item` is part of an item in `added_or_removed`, which are added or removed with all their contents.
 fn is_within_any(added_or_removed: &IndexSet<String>, item: &str) -> bool {
     std::iter::successors(Some(item), |item| item.rfind(['.', '/', ' ']).map(|end| &(*item)[..end]))
         .skip(1)
         .any(|item| added_or_removed.contains(item))
 }
 
-/// Every item of a document with its value as text; a service or operation itself has an empty one.
+/// Returns every item of a document with its value as text, which is empty for a service, team or operation itself.
 fn flatten(document: &SchemaDocument) -> IndexMap<String, String> {
     let mut items = IndexMap::new();
     items.insert("deployment".to_owned(), document.deployment.clone());
@@ -110,7 +109,7 @@
     for call in &operation.calls {
         let mut item = format!("{name} -> {}/{}", call.service, call.operation);
         while items.contains_key(&item) {
-            // The same callee declared twice: each declaration counts.
+            // The same callee may be declared twice: each declaration is listed.
             item.push_str(" again");
         }
         items.insert(item.clone(), String::new());
--- a/crates/coltsfootroute/src/schema/schema_document.rs
+++ b/crates/coltsfootroute/src/schema/schema_document.rs
@@ -1,4 +1,4 @@
-//! A whole schema.
+//! Whole schema of a deployment.
 
 use super::{ServiceEntry, TeamEntry, call_graph::CallGraph};
 use crate::name::{OperationName, ServiceName};
@@ -21,14 +21,14 @@
 }
 
 impl SchemaDocument {
-    /// The service called `name`.
+    /// Returns the service called `name`; `None` if it is undeclared.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceEntry> {
         self.services.iter().find(|service| service.name == *name)
     }
 
-    /// Services that a run of this operation may involve at any depth, its own first, each once; empty if
-    /// the operation is undeclared. Walks the whole document: for use when a configuration is put in force,
-    /// not for each call.
+    /// Returns the services that a run of the operation may involve at any depth, its own first, each once; empty if
+    /// the operation is undeclared. Traverses the whole document, so call it when a configuration is put in force, not for
+    /// each request.
     pub fn reachable_services(
         &self,
         service: &ServiceName,
@@ -41,13 +41,13 @@
             .collect()
     }
 
-    /// Services that operations of `service` call directly, each once.
+    /// Returns the services that operations of `service` call directly, each once.
     pub fn called_services(&self, service: &ServiceName) -> IndexSet<ServiceName> {
         let operations = self.service(service).into_iter().flat_map(|service| &service.operations);
         operations.flat_map(|operation| &operation.calls).map(|call| call.service.clone()).collect()
     }
 
-    /// The JSON Schema of the format, as indented text.
+    /// Returns the JSON Schema of the format, as indented text.
     ///
     /// # Panics
     ///
--- a/crates/coltsfootroute/src/schema/schema_error.rs
+++ b/crates/coltsfootroute/src/schema/schema_error.rs
@@ -1,19 +1,19 @@
-//! One fault of a submitted schema.
+//! Single fault of a submitted schema.
 
 use std::fmt;
 
 record_type! {
-    /// A fault of a submitted schema, where it stands and what it concerns.
+    /// Fault of a submitted schema, with its location and field.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct SchemaError {
-        /// Line in the submitted text, from 1; 0 where the fault has no place of its own.
+        /// Line in the submitted text, from 1; 0 if the fault has no specific location.
         pub line: u64,
-        /// Column in the line, from 1; 0 where the fault has no place of its own.
+        /// Column in the line, from 1; 0 if the fault has no specific location.
         pub column: u64,
         /// Path of the field, such as `services[0].slots`; empty for the whole document.
         pub field: String,
-        /// What is wrong and what is expected.
+        /// Description of the fault and of the expected value.
         pub message: String,
     }
 }
--- a/crates/coltsfootroute/src/schema/schema_errors.rs
+++ b/crates/coltsfootroute/src/schema/schema_errors.rs
@@ -1,26 +1,27 @@
-//! All faults of a submitted schema.
+//! Collection of all faults of a submitted schema.
 
 use super::SchemaError;
 use std::fmt;
 
-/// Most faults listed in one answer; a hostile text may hold a fault in every few bytes.
+/// Maximum number of faults listed in one response; a hostile text may contain a fault every few bytes.
 pub const MAX_SCHEMA_ERRORS: usize = 1_000;
 
 record_type! {
-    /// Every fault found in a submitted schema; nothing was changed. Body of the answer to a submission
-    /// that is refused for its content.
+    /// Every fault found in a submitted schema, which was not applied. Body of the response to a submission that is
+    /// rejected for its content.
     ///
-    /// Invariant: at least one fault, in order of their places.
+    /// Invariant: at least one fault, in order of location.
     #[derive(serde::Serialize, serde::Deserialize, thiserror::Error)]
     #[serde(deny_unknown_fields)]
     pub struct SchemaErrors {
-        /// The faults, in order of line and column.
+        /// Faults, in order of line and column.
         pub errors: Vec<SchemaError>,
     }
 }
 
 impl SchemaErrors {
-    /// Orders `errors` by place; beyond [`MAX_SCHEMA_ERRORS`] a last entry counts the rest.
+    /// Sorts `errors` by location. If there are more than [`MAX_SCHEMA_ERRORS`], a last entry states the number of
+    /// unlisted ones.
     pub fn new(mut errors: Vec<SchemaError>) -> Self {
         errors.sort_by_key(|error| (error.line, error.column));
         let rest = errors.len().saturating_sub(MAX_SCHEMA_ERRORS);
--- a/crates/coltsfootroute/src/schema/schema_parser.rs
+++ b/crates/coltsfootroute/src/schema/schema_parser.rs
@@ -1,4 +1,4 @@
-//! Parsing of a submitted schema: size, form, then meaning.
+//! Parsing of a submitted schema: checks its size, then its structure, then its semantics.
 
 use super::{
     SchemaDocument, SchemaError, SchemaErrors,
@@ -9,14 +9,14 @@
 };
 use indexmap::{IndexMap, IndexSet};
 
-/// Largest text of a schema, in bytes.
+/// Maximum size of a schema's text, in bytes.
 pub const MAX_SCHEMA_BYTES: usize = 1 << 20;
 
-/// Deepest nesting of mappings and lists; the format itself needs 8.
+/// Maximum nesting depth of mappings and lists; the format itself needs 8.
 const MAX_NESTING: usize = 16;
-/// Most uses of YAML aliases.
+/// Maximum number of YAML alias uses.
 const MAX_ALIASES: usize = 4_096;
-/// Most parse events that all aliases together may expand to.
+/// Maximum number of parse events to which all aliases together may expand.
 const MAX_ALIAS_EVENTS: usize = 100_000;
 
 impl SchemaDocument {
@@ -24,8 +24,8 @@
     ///
     /// # Errors
     ///
-    /// Every fault of form and meaning, each with line, column and field. A text that isn't YAML, or is
-    /// beyond the bounds, gives the first fault only: nothing after it can be trusted.
+    /// Returns every structural and semantic fault, each with line, column and field. For a text that isn't YAML or
+    /// exceeds a limit, returns the first fault only, since the rest can't be parsed reliably.
     pub fn from_yaml(text: &str) -> Result<Self, SchemaErrors> {
         if text.len() > MAX_SCHEMA_BYTES {
             return Err(size_error(text.len()));
@@ -41,17 +41,18 @@
         if errors.is_empty() { Ok(document) } else { Err(SchemaErrors::new(errors)) }
     }
 
-    /// The document as YAML text.
+    /// Returns the document as YAML text.
     ///
     /// # Panics
     ///
-    /// Never: a document holds nothing that YAML can't express.
+    /// Never: YAML can express everything that a document contains.
     pub fn to_yaml(&self) -> String {
         serde_saphyr::to_string(self).expect("text, numbers and lists are always YAML")
     }
 }
 
-/// Options that bound what a hostile text can cost, and leave duplicate keys to the reader.
+/// Returns options that limit the cost of parsing a hostile text and pass duplicate keys on to the reader, which
+/// reports them.
 fn bounded_options() -> serde_saphyr::Options {
     serde_saphyr::options! {
         budget: serde_saphyr::budget! {
@@ -80,7 +81,8 @@
     SchemaErrors::new(vec![SchemaError { line, column, field: String::new(), message }])
 }
 
-/// Faults of meaning, but for those at or within a field whose form is wrong: its value is a stand-in.
+/// Returns the semantic faults, except those at or within a field with a structural fault, whose value is a
+/// placeholder.
 fn semantic_errors(
     document: &SchemaDocument,
     structural_errors: &[SchemaError],
@@ -95,12 +97,12 @@
         .collect()
 }
 
-/// `field` and the paths of what contains it, innermost first, without the document itself.
+/// Returns `field` and the paths of the items that contain it, innermost first, without the document itself.
 fn enclosing_paths(field: &str) -> impl Iterator<Item = &str> {
     std::iter::successors(Some(field), |path| path.rfind(['.', '[']).map(|end| &(*path)[..end]))
 }
 
-/// Gives a fault its place: that of the field, or of the nearest thing around it that the text holds.
+/// Creates an error at the location of the field, or of the nearest enclosing item that the text contains.
 fn locate_error(
     locations: &IndexMap<String, (u64, u64)>,
     field: String,
--- a/crates/coltsfootroute/src/schema/service_entry.rs
+++ b/crates/coltsfootroute/src/schema/service_entry.rs
@@ -1,4 +1,4 @@
-//! A service as declared.
+//! Declaration of a service.
 
 use super::OperationEntry;
 use crate::name::{OperationName, ServiceName};
@@ -26,7 +26,8 @@
     }
 }
 
-/// One day: clients that repeat a request do so within minutes, and auditors ask the next morning.
+/// Default retention in seconds, one day: clients that repeat a request do so within minutes, and auditors ask the
+/// next morning.
 pub(super) const DEFAULT_RETENTION_S: u64 = 86_400;
 
 fn default_retention() -> u64 {
@@ -34,7 +35,7 @@
 }
 
 impl ServiceEntry {
-    /// The operation called `name`.
+    /// Returns the operation called `name`; `None` if it is undeclared.
     pub fn operation(&self, name: &OperationName) -> Option<&OperationEntry> {
         self.operations.iter().find(|operation| operation.name == *name)
     }
--- a/crates/coltsfootroute/src/schema/source_fields.rs
+++ b/crates/coltsfootroute/src/schema/source_fields.rs
@@ -1,4 +1,4 @@
-//! The fields of one mapping of a YAML tree.
+//! Reader of the fields of one YAML mapping.
 
 use super::{
     source_node::{SourceNode, SourceValue},
@@ -13,12 +13,12 @@
     node: &'a SourceNode,
     path: String,
     fields: IndexMap<&'a str, &'a SourceNode>,
-    /// Whether the node is a mapping at all; if not, missing fields aren't reported besides.
+    /// Whether the node is a mapping. If not, missing fields aren't reported in addition.
     is_map: bool,
 }
 
 impl<'a, 'r> SourceFields<'a, 'r> {
-    /// Opens `node`, whose path is `path`, and reports keys not in `known`.
+    /// Creates a reader of `node`, whose path is `path`, and reports keys that aren't in `known`.
     pub fn new(
         report: &'r mut SourceReport,
         node: &'a SourceNode,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Required text.
+    /// Reads required text; returns an empty string after reporting a fault.
     pub fn text(&mut self, name: &str) -> String {
         match self.required(name).map(|node| (node, &node.value)) {
             Some((_, SourceValue::Text(text))) => text.clone(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A number; required unless it has a default.
+    /// Reads a number, which is required unless there is a default; returns 0 after reporting a fault.
     pub fn number(&mut self, name: &str, default: Option<u64>) -> u64 {
         let node = match default {
             Some(default) if !self.fields.contains_key(name) => return default,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A number of 32 bits; required unless it has a default.
+    /// Reads a 32-bit number, which is required unless there is a default.
     pub fn count(&mut self, name: &str, default: Option<u64>) -> u32 {
         let number = self.number(name, default);
         u32::try_from(number).unwrap_or_else(|_| {
@@ -97,12 +97,12 @@
         })
     }
 
-    /// A number of 32 bits, if it is there.
+    /// Reads an optional 32-bit number; `None` if it is absent.
     pub fn optional_count(&mut self, name: &str) -> Option<u32> {
         self.fields.contains_key(name).then(|| self.count(name, None))
     }
 
-    /// A boolean with a default.
+    /// Reads a boolean with a default.
     pub fn flag(&mut self, name: &str, default: bool) -> bool {
         match self.fields.get(name).copied().map(|node| (node, &node.value)) {
             Some((_, SourceValue::Flag(flag))) => *flag,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Required text that parses as `T`.
+    /// Reads required text and parses it as `T`; returns `None` after reporting a fault.
     pub fn parsed<T: FromStr<Err: Display>>(&mut self, name: &str) -> Option<T> {
         let text = self.text(name);
         match text.parse() {
@@ -130,12 +130,12 @@
         }
     }
 
-    /// The node of an optional field, with its path.
+    /// Returns the path and node of an optional field; `None` if it is absent.
     pub fn optional(&self, name: &str) -> Option<(String, &'a SourceNode)> {
         self.fields.get(name).map(|node| (self.field_path(name), *node))
     }
 
-    /// A list, with its path.
+    /// Reads a list and returns it with its path; `None` if it is absent or not a list.
     pub fn list(&mut self, name: &str, required: bool) -> Option<(String, &'a [SourceNode])> {
         let node = if required { self.required(name)? } else { self.fields.get(name).copied()? };
         match &node.value {
--- a/crates/coltsfootroute/src/schema/source_node.rs
+++ b/crates/coltsfootroute/src/schema/source_node.rs
@@ -1,23 +1,23 @@
-//! YAML text as a tree that keeps places.
+//! Tree of YAML values with their locations in the text.
 
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::Spanned;
 use std::fmt;
 
 record_type! {
-    /// A value of the text and where it stands.
+    /// YAML value and its location in the text.
     pub(super) struct SourceNode {
         /// Line, from 1.
         pub line: u64,
         /// Column, from 1.
         pub column: u64,
-        /// The value.
+        /// Value at this location.
         pub value: SourceValue,
     }
 }
 
 record_type! {
-    /// A value of the text. Keys of a map may repeat: the reader reports them.
+    /// YAML value. Keys of a map may be duplicated; the reader reports that.
     pub(super) enum SourceValue {
         Null,
         Flag(bool),
@@ -30,7 +30,7 @@
 }
 
 impl SourceValue {
-    /// The value's type, for messages.
+    /// Returns the name of the value's type, for messages.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Null => "nothing",
--- a/crates/coltsfootroute/src/schema/source_reader.rs
+++ b/crates/coltsfootroute/src/schema/source_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a schema from a YAML tree and gathers every fault of its form.
+//! Reader that builds a schema from a YAML tree and collects every structural fault.
 
 use super::{
     CallEdge, ClientEntry, OperationEntry, PathMatch, RateLimit, SchemaDocument, ServiceEntry,
@@ -13,11 +13,11 @@
     team::KeyDigest,
 };
 
-/// Reads a document however faulty its form is: what is missing or wrong is reported and replaced by a
-/// stand-in, so that the rest can still be checked.
+/// Reads a document in spite of structural faults. Each missing or invalid value is reported and replaced by a
+/// placeholder, so that the rest can still be checked.
 #[derive(Default)]
 pub(super) struct SourceReader {
-    /// Faults and locations found so far.
+    /// Faults and locations found.
     pub report: SourceReport,
 }
 
@@ -46,7 +46,7 @@
         TeamEntry { name, keys, importance, rate }
     }
 
-    /// The digest of a key. What is no digest may be a key: the report does not repeat it.
+    /// Reads the digest of a key. A value that isn't a digest may be the key itself, so the fault doesn't repeat it.
     fn key(&mut self, node: &SourceNode, path: &str) -> Option<KeyDigest> {
         self.report.locations.insert(path.to_owned(), (node.line, node.column));
         let fault = match &node.value {
--- a/crates/coltsfootroute/src/schema/team_entry.rs
+++ b/crates/coltsfootroute/src/schema/team_entry.rs
@@ -1,4 +1,4 @@
-//! A team as declared.
+//! Declaration of a team.
 
 use super::RateLimit;
 use crate::{importance::Importance, name::TeamName, team::KeyDigest};
--- a/crates/coltsfootroute/tests/integration/schema.rs
+++ b/crates/coltsfootroute/tests/integration/schema.rs
@@ -1,4 +1,5 @@
-//! Schemas: the samples, what is refused and where, differences, the committed JSON Schema.
+//! Tests of schemas: the samples, rejected documents and the locations of their faults, differences, the committed JSON
+//! Schema.
 
 use coltsfootroute::{
     name::{OperationName, ServiceName},
@@ -10,13 +11,13 @@
 const BALDOSA: &str = include_str!("../../../../samples/baldosa.yaml");
 const TEAMS: &str = include_str!("../../../../samples/teams.yaml");
 
-/// A document with the given services, in flow style, each on its own line from line 3.
+/// Returns a document with the given services in flow style, each on its own line from line 3.
 fn with_services(services: &[&str]) -> String {
     let lines: String = services.iter().map(|service| format!("  - {service}\n")).collect();
     format!("deployment: test\nservices:\n{lines}")
 }
 
-/// The faults of `text` as `line field: message`.
+/// Returns the faults of `text` as `line field: message`.
 fn faults(text: &str) -> Vec<String> {
     let errors = SchemaDocument::from_yaml(text).expect_err("the text is faulty").errors;
     errors
@@ -226,7 +227,7 @@
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/schema.json");
     let text = SchemaDocument::json_schema();
     if std::env::var_os("REWRITE").is_some() {
-        std::fs::write(path, &text).expect("the page is writable");
+        std::fs::write(path, &text).expect("docs/schema.json is writable");
     }
 
     let committed = std::fs::read_to_string(path).expect("docs/schema.json is committed");
@@ -234,15 +235,17 @@
     assert_eq!(committed, text);
 }
 
-/// A valid document with the given teams, each on its own line from line 4.
+/// Returns a document with the given teams, each on its own line from line 4.
 fn with_teams(teams: &[&str]) -> String {
     let lines: String = teams.iter().map(|team| format!("  - {team}\n")).collect();
     format!("deployment: test\nservices: []\nteams:\n{lines}")
 }
 
-/// SHA-256 of `a`, of `b` and of nothing.
+/// SHA-256 of `a`.
 const DIGEST_A: &str = "ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb";
+/// SHA-256 of `b`.
 const DIGEST_B: &str = "3e23e8160039594a33894f6564e1b1348bbd7a0088d42c4acb73eeaed59c009d";
+/// SHA-256 of the empty string.
 const DIGEST_EMPTY: &str = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
 
 #[rstest]
