--- a/crates/coltsfoot-node/src/journal/event_logger.rs
+++ b/crates/coltsfoot-node/src/journal/event_logger.rs
@@ -73,7 +73,7 @@
     log::warn!(
         target: LOG_TARGET,
         "level=warn event=events-dropped first={expected} next={} node={} life={} stamp={}",
-        next.sequence, next.node, next.life, next.stamp
+        next.sequence, next.node, next.incarnation, next.stamp
     );
 }
 
--- a/crates/coltsfoot-node/src/journal/journal_gate.rs
+++ b/crates/coltsfoot-node/src/journal/journal_gate.rs
@@ -47,6 +47,6 @@
         let stamp = self.clock.tick(wall_ms());
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        EventRecord { stamp, node: self.node, life: self.life, sequence, kind }
+        EventRecord { stamp, node: self.node, incarnation: self.life, sequence, kind }
     }
 }
--- a/crates/coltsfoot-timeline/src/collect/node_cursor.rs
+++ b/crates/coltsfoot-timeline/src/collect/node_cursor.rs
@@ -27,8 +27,8 @@
     /// life's start.
     pub fn advance(&mut self, page: &[EventRecord]) -> bool {
         let Some(last) = page.last() else { return true };
-        let is_restarted = self.life.is_some_and(|life| life != last.life);
-        self.life = Some(last.life);
+        let is_restarted = self.life.is_some_and(|life| life != last.incarnation);
+        self.life = Some(last.incarnation);
         self.next = if is_restarted { 0 } else { last.sequence.saturating_add(1) };
         !is_restarted
     }
--- a/crates/coltsfoot-timeline/src/merge/gap_detector.rs
+++ b/crates/coltsfoot-timeline/src/merge/gap_detector.rs
@@ -30,12 +30,12 @@
     /// Takes the next record, in the time line's order; the gap before it, if there is one.
     pub fn observe(&mut self, record: &EventRecord) -> Option<EventGap> {
         let last = LastEvent { sequence: record.sequence, stamp: record.stamp };
-        let previous = self.last.insert((record.node, record.life), last);
+        let previous = self.last.insert((record.node, record.incarnation), last);
         let first = previous.map_or(0, |event| event.sequence.saturating_add(1));
         let is_missing = record.sequence > first;
         is_missing.then(|| EventGap {
             node: record.node,
-            life: record.life,
+            life: record.incarnation,
             first,
             last: record.sequence - 1,
             after: previous.map(|event| event.stamp),
--- a/crates/coltsfoot-timeline/src/merge/merged_timeline.rs
+++ b/crates/coltsfoot-timeline/src/merge/merged_timeline.rs
@@ -16,7 +16,7 @@
     /// Merges `records`, which come in any order.
     pub fn new(mut records: Vec<EventRecord>) -> Self {
         records.sort_by_key(EventRecord::order_key);
-        records.dedup_by_key(|record| (record.order_key(), record.life));
+        records.dedup_by_key(|record| (record.order_key(), record.incarnation));
         Self { records }
     }
 
--- a/crates/coltsfoot-timeline/tests/integration/collect.rs
+++ b/crates/coltsfoot-timeline/tests/integration/collect.rs
@@ -29,7 +29,7 @@
     let mut collector = EventCollector::new(&[fake.address]);
     block_on(collector.collect_round());
     let mut records: Vec<_> = (0..5).map(|sequence| event(1, sequence, 10 + sequence)).collect();
-    records.iter_mut().for_each(|record| record.life = Incarnation(2));
+    records.iter_mut().for_each(|record| record.incarnation = Incarnation(2));
     fake.set_records(records.clone());
 
     let round = block_on(collector.collect_round());
--- a/crates/coltsfoot-timeline/tests/integration/merge.rs
+++ b/crates/coltsfoot-timeline/tests/integration/merge.rs
@@ -81,7 +81,7 @@
 #[test]
 fn a_restart_is_no_gap() {
     let mut restarted = event(1, 0, 9);
-    restarted.life = Incarnation(2);
+    restarted.incarnation = Incarnation(2);
 
     let entries =
         MergedTimeline::new(vec![event(1, 0, 0), event(1, 1, 1), restarted]).entries(&all());
@@ -92,7 +92,7 @@
 #[test]
 fn a_life_is_not_taken_for_the_rest_of_the_one_before() {
     let mut restarted = event(1, 1, 9);
-    restarted.life = Incarnation(2);
+    restarted.incarnation = Incarnation(2);
 
     let entries = MergedTimeline::new(vec![event(1, 0, 0), restarted]).entries(&all());
 
--- a/crates/coltsfoot-timeline/tests/integration/util.rs
+++ b/crates/coltsfoot-timeline/tests/integration/util.rs
@@ -25,7 +25,7 @@
 
 pub fn event_of(host: u8, sequence: u64, offset_ms: u64, kind: EventKind) -> EventRecord {
     let stamp = HybridStamp::new(START_MS + offset_ms, 0);
-    EventRecord { stamp, node: node(host), life: Incarnation(1), sequence, kind }
+    EventRecord { stamp, node: node(host), incarnation: Incarnation(1), sequence, kind }
 }
 
 pub fn completed(request: u128, service: &str) -> EventKind {
--- a/crates/coltsfootroute/src/event/event_record.rs
+++ b/crates/coltsfootroute/src/event/event_record.rs
@@ -15,8 +15,8 @@
         /// Where.
         pub node: NodeId,
         /// The incarnation with which the process started: tells the lives at one address apart.
-        #[serde(with = "IncarnationForm")]
-        pub life: Incarnation,
+        #[serde(rename = "life", with = "IncarnationForm")]
+        pub incarnation: Incarnation,
         /// Position among the events of that life: 0, 1, 2, … A number missing between two records is an event
         /// that was dropped.
         pub sequence: u64,
@@ -34,7 +34,7 @@
         line.push("event", &self.kind.name());
         self.kind.write_fields(&mut line);
         line.push("node", &self.node);
-        line.push("life", &self.life);
+        line.push("life", &self.incarnation);
         line.push("sequence", &self.sequence);
         line.push("stamp", &self.stamp);
         line.into_line()
--- a/crates/coltsfootroute/src/event/event_ring.rs
+++ b/crates/coltsfootroute/src/event/event_ring.rs
@@ -36,8 +36,8 @@
     /// has not reached belongs to an earlier life of the node: the read then starts with the oldest.
     pub fn read_since(&self, sequence: u64, limit: usize) -> Vec<EventRecord> {
         let next = self.records.back().map_or(0, |record| record.sequence + 1);
-        let is_earlier_life = sequence > next;
-        let first = if is_earlier_life { 0 } else { sequence };
+        let is_earlier_incarnation = sequence > next;
+        let first = if is_earlier_incarnation { 0 } else { sequence };
         let start = self.records.partition_point(|record| record.sequence < first);
         self.records.iter().skip(start).take(limit).cloned().collect()
     }
--- a/crates/coltsfootroute/src/event/event_text.rs
+++ b/crates/coltsfootroute/src/event/event_text.rs
@@ -18,7 +18,7 @@
     fn event_text(&self) -> Option<&dyn fmt::Display>;
 }
 
-macro_rules! shown_by_display {
+macro_rules! impl_event_text {
     ($($type:ty),* $(,)?) => {
         $(impl EventText for $type {
             fn event_text(&self) -> Option<&dyn fmt::Display> {
@@ -28,7 +28,7 @@
     };
 }
 
-shown_by_display!(
+impl_event_text!(
     bool,
     u16,
     u32,
--- a/crates/coltsfootroute/src/schema/schema_document.rs
+++ b/crates/coltsfootroute/src/schema/schema_document.rs
@@ -27,8 +27,8 @@
     }
 
     /// Returns the services that a run of the operation may involve at any depth, its own first, each once; empty if
-    /// the operation is undeclared. Traverses the whole document, so call it when a configuration is put in force, not for
-    /// each request.
+    /// the operation is undeclared. Traverses the whole document, so call it when a configuration is put in force, not
+    /// for each request.
     pub fn reachable_services(
         &self,
         service: &ServiceName,
--- a/crates/coltsfootroute/tests/integration/event.rs
+++ b/crates/coltsfootroute/tests/integration/event.rs
@@ -23,7 +23,7 @@
 
 fn record(sequence: u64, kind: EventKind) -> EventRecord {
     let stamp = HybridStamp::new(START_MS, 3);
-    EventRecord { stamp, node: NodeId(address(4711)), life: Incarnation(5), sequence, kind }
+    EventRecord { stamp, node: NodeId(address(4711)), incarnation: Incarnation(5), sequence, kind }
 }
 
 fn refused(service: &str, operation: &str) -> EventKind {
