--- a/crates/coltsfootroute/src/event.rs
+++ b/crates/coltsfootroute/src/event.rs
@@ -1,8 +1,8 @@
-//! Typed events and the logical clock that orders them over all processes.
+//! Typed events and the logical clock that orders them across all processes.
 //!
-//! Every process keeps a [`HybridClock`] and stamps its events with it. Where messages between processes
-//! carry the sender's latest stamp, an event that another one caused always has the higher stamp, also if
-//! wall clocks disagree; see [`HybridClock`] for why.
+//! Every process has a [`HybridClock`] and stamps its events with it. If messages between processes carry the sender's
+//! latest stamp, an effect always has a higher stamp than its cause, even if wall clocks disagree. [`HybridClock`]
+//! explains why this kind of clock is used.
 
 #[macro_use]
 mod event_macro;
--- a/crates/coltsfootroute/src/event/claim_outcome.rs
+++ b/crates/coltsfootroute/src/event/claim_outcome.rs
@@ -1,23 +1,23 @@
-//! How a claim on an idempotency key ended.
+//! Outcome of a claim on an idempotency key.
 
 value_type! {
-    /// How a claim on an idempotency key ended.
+    /// Outcome of a claim on an idempotency key.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum ClaimOutcome {
-        /// The key was free; this node may run the request once.
+        /// The key was unused; this node may run the request once.
         Granted,
-        /// The stored answer of an earlier run was replayed.
+        /// The stored response of an earlier run was replayed.
         Replayed,
-        /// The key stands with another body.
+        /// The key was used before with a different request body.
         Conflict,
-        /// An earlier request with the key runs still, or was interrupted.
+        /// An earlier request with the key is still running, or was interrupted.
         InProgress,
-        /// The key is older than the retention of its record.
+        /// The key is older than the retention time of its record.
         Expired,
-        /// The table service could not take the claim; nothing was dispatched.
+        /// The table service could not store the claim; nothing was dispatched.
         Unavailable,
-        /// The claim was given back: its holder never dispatched.
+        /// The claim was released, because its holder never dispatched the request.
         Released,
     }
 }
@@ -34,7 +34,7 @@
         Self::Released,
     ];
 
-    /// The outcome's name in logs and metric labels.
+    /// Returns the outcome's name in logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Granted => "granted",
--- a/crates/coltsfootroute/src/event/clock_drift.rs
+++ b/crates/coltsfootroute/src/event/clock_drift.rs
@@ -1,14 +1,14 @@
-//! A stamp too far ahead.
+//! Error for a stamp too far ahead of the wall clock.
 
 use super::HybridStamp;
 
-/// A message's stamp lies further ahead of the own wall clock than the clock follows. It was not taken
-/// over.
+/// Error for a message whose stamp is further ahead of the local wall clock than the drift limit allows. The stamp was
+/// rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("stamp {stamp} is {ahead_ms} ms ahead of the wall clock")]
 pub struct ClockDrift {
-    /// The stamp refused.
+    /// Rejected stamp.
     pub stamp: HybridStamp,
-    /// How far it is ahead, in milliseconds.
+    /// Distance of the stamp ahead of the wall clock, in milliseconds.
     pub ahead_ms: u64,
 }
--- a/crates/coltsfootroute/src/event/denial_reason.rs
+++ b/crates/coltsfootroute/src/event/denial_reason.rs
@@ -1,21 +1,21 @@
-//! Why a retry was denied.
+//! Reason for denying a retry.
 
 value_type! {
-    /// Why a retry was denied.
+    /// Reason for denying a retry.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum DenialReason {
         /// The account of the client request has no token left.
         Exhausted,
-        /// The node that holds the account did not answer.
+        /// The node that holds the account did not respond.
         Unreachable,
         /// The operation must not be repeated.
         NonRepeatable,
         /// The deadline leaves no time for another attempt.
         Deadline,
-        /// The service sheds; a retry would add to the load.
+        /// The service is shedding load; a retry would add to it.
         Shedding,
-        /// A nested call was not served, after all attempts made for it.
+        /// A nested call was not served after all of its attempts.
         FailedBelow,
         /// The limit on retries into the service is used up.
         Throttled,
@@ -37,7 +37,7 @@
         Self::NoAccount,
     ];
 
-    /// The reason's name in logs and metric labels.
+    /// Returns the reason's name in logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Exhausted => "exhausted",
--- a/crates/coltsfootroute/src/event/event_kind.rs
+++ b/crates/coltsfootroute/src/event/event_kind.rs
@@ -1,4 +1,4 @@
-//! Kinds of events.
+//! Kinds of events with their levels and fields.
 
 use std::net::SocketAddr;
 
@@ -18,399 +18,400 @@
 event_kinds! {
     /// The process has started.
     Started("started", Info) {
-        /// Its incarnation.
+        /// Incarnation of the process.
         #[serde(with = "IncarnationForm")]
         incarnation: Incarnation,
-        /// Its region.
+        /// Region of the node.
         region: RegionName,
-        /// Its failure domain.
+        /// Failure domain of the node.
         domain: DomainName,
     }
     /// The listeners are open.
     Listening("listening", Info) {
-        /// Clients' listener.
+        /// Address of the client listener.
         client: SocketAddr,
-        /// Host listener.
+        /// Address of the host listener.
         host: SocketAddr,
-        /// Peers' listener.
+        /// Address of the peer listener.
         peer: SocketAddr,
     }
-    /// The process stops.
+    /// The process is stopping.
     Stopped("stopped", Info) {
-        /// Requests still in flight, cut off by the stop.
+        /// Number of requests in flight that are interrupted by the stop.
         interrupted: u32,
     }
-    /// A request was admitted in front of the upstream.
+    /// The guard beside the upstream admitted a request.
     RequestAdmitted("request-admitted", Debug) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
         /// Operation called.
         operation: OperationName,
-        /// Its importance.
+        /// Importance of the client request.
         importance: Importance,
-        /// Calls in flight with this one.
+        /// Number of calls in flight, including this one.
         in_flight: u32,
-        /// Limit on calls in flight.
+        /// Limit on the number of calls in flight.
         limit: u32,
     }
     /// A request was refused.
     RequestRefused("request-refused", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
         /// Operation called.
         operation: OperationName,
-        /// Its importance.
+        /// Importance of the client request.
         importance: Importance,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// What the caller was told.
+        /// Outcome reported to the caller.
         outcome: CallOutcome,
-        /// Upstreams tried; 0 where the request was refused as it came in.
+        /// Number of upstreams tried; 0 if the request was refused on arrival.
         attempts: u32,
-        /// Service whose level refused it as it came in; absent where it was refused elsewhere.
+        /// Service whose shed level caused the refusal on arrival; absent if the request was refused later.
         shed_by: Option<ServiceName>,
-        /// Level of that service, or else of the service called, as this node knew it: thousandths of an
-        /// importance shed.
+        /// Shed level of that service, or else of the called service, as known to this node, in thousandths of an
+        /// importance.
         severity: u16,
-        /// Configuration that was in force.
+        /// Revision of the configuration in force.
         revision: u64,
-        /// Time from arrival to the refusal.
+        /// Time from arrival to refusal.
         elapsed_us: u64,
     }
-    /// The guard did not let a call through to the upstream beside it.
+    /// The guard rejected a call to the upstream beside it.
     GuardRefused("guard-refused", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
         /// Importance of the client request.
         importance: Importance,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// Calls in flight to the upstream.
+        /// Number of calls in flight to the upstream.
         in_flight: u32,
-        /// Limit on them.
+        /// Limit on the number of calls in flight.
         limit: u32,
-        /// Calls that wait.
+        /// Number of waiting calls.
         queued: u32,
     }
-    /// The upstream beside the node gave no usable answer to a call.
+    /// The upstream beside the node returned no usable response to a call.
     UpstreamCallFailed("upstream-call-failed", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
-        /// What went wrong.
+        /// Description of the failure.
         error: String,
-        /// Life of the upstream, if it names itself.
+        /// Instance of the upstream; absent if the upstream doesn't report its name.
         instance: Option<InstanceName>,
         /// Time from sending to the failure.
         elapsed_us: u64,
     }
-    /// The upstream beside the node ended with calls under way, unplanned.
+    /// The upstream beside the node terminated unexpectedly while calls were in flight.
     UpstreamEnded("upstream-ended", Warn) {
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceName,
-        /// Its address.
+        /// Address of the upstream.
         upstream: SocketAddr,
-        /// Its life, if it names itself.
+        /// Instance of the upstream; absent if the upstream doesn't report its name.
         instance: Option<InstanceName>,
-        /// This end.
+        /// Identity of the crash.
         crash: CrashId,
-        /// Calls that broke off with it.
+        /// Number of calls interrupted by the crash.
         cut_off: u32,
-        /// Whether it shows by a refused connection; else by the start of another life.
+        /// Whether the crash was detected by a refused connection; otherwise by the start of another instance.
         refused: bool,
     }
-    /// A call broke off when its upstream ended. At most 128 of one end are told.
+    /// A call was interrupted when its upstream crashed. At most 128 of these events are recorded per crash.
     RequestSuspected("request-suspected", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
-        /// What it asked for.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
-        /// The end.
+        /// Crash of the upstream.
         crash: CrashId,
-        /// Whether the same was answered there of late, which clears it.
+        /// Whether the upstream beside the node recently answered the same request, which clears it of suspicion.
         answered: bool,
     }
-    /// A request is held back from here on, or let go.
+    /// A request was quarantined or released from quarantine.
     QuarantineChanged("quarantine-changed", Warn) {
-        /// What it asks for.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
-        /// Changes of the case until now.
+        /// Number of changes of the quarantine case.
         term: u32,
-        /// Whether it is held back.
+        /// Whether the request is quarantined.
         held: bool,
-        /// Ends of upstreams that speak against it; 0 where others told of it.
+        /// Number of upstream crashes attributed to the request; 0 if peers reported the case.
         crashes: u32,
     }
-    /// A request was refused since the same has ended its upstreams.
+    /// A request was refused because requests with its fingerprint crashed their upstreams.
     QuarantineRefused("quarantine-refused", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
-        /// What it asks for.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
-        /// Changes of the case until now.
+        /// Number of changes of the quarantine case.
         term: u32,
     }
-    /// A request that is held back is run once, to see whether it still ends its upstream.
+    /// A quarantined request is run once to determine whether it still crashes its upstream.
     QuarantineTrial("quarantine-trial", Warn) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
-        /// What it asks for.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
     }
-    /// A request was turned away before a service was found for it.
+    /// A request was rejected before a service was found for it.
     RequestDenied("request-denied", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
-        /// HTTP status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// Configuration that was in force, 0 before the first.
+        /// Revision of the configuration in force; 0 before the first.
         revision: u64,
     }
-    /// A heartbeat of the upstream beside the node was not taken.
+    /// A heartbeat of the upstream beside the node was ignored.
     HeartbeatIgnored("heartbeat-ignored", Info) {
-        /// Life of the upstream that sent it.
+        /// Instance of the upstream that sent the heartbeat.
         instance: InstanceName,
-        /// Its number.
+        /// Sequence number of the heartbeat.
         sequence: u64,
-        /// Whether the life has departed; else a newer heartbeat was heard before.
+        /// Whether the instance has departed; otherwise a newer heartbeat was received earlier.
         departed: bool,
     }
-    /// What the upstream beside the node said was not acknowledged; it says it again.
+    /// A message of the upstream beside the node was not acknowledged; the upstream sends it again.
     NotAcknowledged("not-acknowledged", Warn) {
-        /// Life of the upstream.
+        /// Instance of the upstream.
         instance: InstanceName,
-        /// Whether it leaves, and nothing that outlasts this node tells of it yet; else what the life before this one wrote
-        /// has not been read.
+        /// Whether the upstream is leaving and its departure isn't yet recorded outside this node; otherwise the rows
+        /// written by this node's previous incarnation have not been read.
         leaving: bool,
     }
-    /// A request has its complete answer.
+    /// A request received its complete response.
     RequestCompleted("request-completed", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
         /// Operation called.
         operation: OperationName,
-        /// HTTP status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// Time from arrival to answer.
+        /// Time from arrival to response.
         elapsed_us: u64,
     }
-    /// A request ended without an answer that tells whether it ran.
+    /// A request ended without a response that shows whether it ran.
     RequestUnknown("request-unknown", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
         /// Operation called.
         operation: OperationName,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// Status of the upstream's own failure; 0 where there is no answer of it.
+        /// Status of the upstream's failure response; 0 if there is none.
         status: u16,
-        /// Upstreams tried.
+        /// Number of upstreams tried.
         attempts: u32,
         /// Time from arrival to the end.
         elapsed_us: u64,
     }
     /// An attempt of a call was sent.
     AttemptStarted("attempt-started", Debug) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
         /// Node beside the chosen upstream.
         guard: NodeId,
-        /// 1 for the first attempt.
+        /// Number of the attempt, from 1.
         attempt: u32,
     }
     /// An attempt of a call ended.
     AttemptFinished("attempt-finished", Debug) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
         /// Node beside the chosen upstream.
         guard: NodeId,
-        /// 1 for the first attempt.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: CallOutcome,
-        /// Time from sending to the end.
+        /// Time from sending to the end of the attempt.
         elapsed_us: u64,
     }
-    /// A retry took a token of the request's account.
+    /// A retry acquired a token from the request's account.
     RetryGranted("retry-granted", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service to be called again.
         service: ServiceName,
-        /// Tokens left in the account.
+        /// Number of tokens remaining in the account.
         remaining: u32,
     }
     /// A retry was denied.
     RetryDenied("retry-denied", Info) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service that is not called again.
         service: ServiceName,
-        /// Why.
+        /// Reason for the denial.
         reason: DenialReason,
     }
     /// A claim on an idempotency key was decided.
     ClaimDecided("claim-decided", Debug) {
-        /// The client request.
+        /// Identity of the client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
         /// Operation called.
         operation: OperationName,
-        /// How.
+        /// Outcome of the claim.
         outcome: ClaimOutcome,
     }
     /// A request was refused for overload while less important work was admitted.
     ImportanceBreached("importance-breached", Error) {
-        /// The client request refused.
+        /// Identity of the refused client request.
         #[serde(with = "request_text")]
         request: RequestId,
         /// Service called.
         service: ServiceName,
-        /// Importance refused.
+        /// Importance of the refused request.
         refused: Importance,
-        /// Lower importance admitted meanwhile.
+        /// Lower importance of the work admitted meanwhile.
         admitted: Importance,
     }
     /// A submitted configuration was accepted.
     RevisionAccepted("revision-accepted", Info) {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
-        /// Who submitted it.
+        /// Operator who submitted the configuration.
         operator: OperatorName,
         /// Digest of the schema, hexadecimal.
         digest: String,
     }
-    /// A configuration came into force at this node.
+    /// A configuration was put in force on this node.
     RevisionInForce("revision-in-force", Info) {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
-        /// The revision in force before, if any.
+        /// Revision in force before; absent if there was none.
         previous: Option<u64>,
-        /// The peer that it came from; absent: the store.
+        /// Peer that provided the configuration; absent if the store did.
         from: Option<NodeId>,
-        /// Time until it was in force, from when the store told the configuration duty of it or the peer was asked.
+        /// Time until the configuration was in force, from the store's notification to the configuration duty or the
+        /// request to the peer.
         waited_ms: u64,
     }
-    /// A member was found up.
+    /// A member was detected as up.
     MemberUp("member-up", Info) {
-        /// The member.
+        /// Node of the member.
         member: NodeId,
-        /// Its incarnation.
+        /// Incarnation of the member.
         #[serde(with = "IncarnationForm")]
         incarnation: Incarnation,
     }
-    /// A member does not answer and is suspected.
+    /// A member does not respond and is suspected.
     MemberSuspect("member-suspect", Info) {
-        /// The member.
+        /// Node of the member.
         member: NodeId,
-        /// The incarnation suspected.
+        /// Suspected incarnation.
         #[serde(with = "IncarnationForm")]
         incarnation: Incarnation,
     }
-    /// A member is held to be down.
+    /// A member is considered down.
     MemberDown("member-down", Warn) {
-        /// The member.
+        /// Node of the member.
         member: NodeId,
-        /// The incarnation that is down.
+        /// Incarnation that is down.
         #[serde(with = "IncarnationForm")]
         incarnation: Incarnation,
     }
     /// A member left as planned.
     MemberLeft("member-left", Info) {
-        /// The member.
+        /// Node of the member.
         member: NodeId,
-        /// The incarnation that left.
+        /// Incarnation that left.
         #[serde(with = "IncarnationForm")]
         incarnation: Incarnation,
     }
     /// The upstream beside the node announced itself.
     UpstreamAnnounced("upstream-announced", Info) {
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceName,
-        /// Its address.
+        /// Address of the upstream.
         upstream: SocketAddr,
-        /// Requests it runs at once.
+        /// Number of requests that the upstream runs concurrently.
         slots: u32,
-        /// Connections it takes.
+        /// Number of connections that the upstream accepts.
         connections: u32,
     }
     /// The upstream beside the node left, or its heartbeat stopped.
     UpstreamLeft("upstream-left", Info) {
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceName,
-        /// Its address.
+        /// Address of the upstream.
         upstream: SocketAddr,
     }
-    /// A graceful shutdown has begun; new work is refused from here on.
+    /// A graceful shutdown has begun; new work is refused from now on.
     DrainBegun("drain-begun", Info) {
-        /// Requests in flight.
+        /// Number of requests in flight.
         in_flight: u32,
     }
-    /// A graceful shutdown takes longer than its bound; it waits on.
+    /// A graceful shutdown exceeded its time limit and continues to wait.
     DrainOverdue("drain-overdue", Warn) {
-        /// Requests in flight.
+        /// Number of requests in flight.
         in_flight: u32,
         /// Time since the drain began.
         waited_ms: u64,
     }
-    /// Nothing is in flight any more.
+    /// The drain is complete: no requests are in flight.
     Drained("drained", Info) {
         /// Time since the drain began.
         elapsed_ms: u64,
     }
-    /// The platform's store answers again.
+    /// The platform's store responds again.
     StoreUp("store-up", Info) {
-        /// How long it did not answer.
+        /// Time during which the store did not respond.
         down_ms: u64,
     }
-    /// The platform's store does not answer.
+    /// The platform's store does not respond.
     StoreDown("store-down", Warn) {
-        /// The error of the last try.
+        /// Error of the last attempt.
         error: String,
     }
-    /// The host was suspended, and runs again.
+    /// The host was suspended and has resumed.
     HostSuspended("host-suspended", Warn) {
-        /// How long.
+        /// Duration of the suspension.
         suspended_ms: u64,
     }
     /// The limit on calls in flight to the upstream changed.
     LimitChanged("limit-changed", Debug) {
         /// Service of the upstream.
         service: ServiceName,
-        /// The limit before.
+        /// Previous limit.
         previous: u32,
-        /// The limit now.
+        /// Current limit.
         limit: u32,
     }
 }
--- a/crates/coltsfootroute/src/event/event_level.rs
+++ b/crates/coltsfootroute/src/event/event_level.rs
@@ -1,15 +1,15 @@
-//! How severe an event is.
+//! Severity of an event.
 
 value_type! {
-    /// How severe an event is; decides which log settings show it, never whether it is recorded.
+    /// Severity of an event. Determines which log settings show the event, never whether it is recorded.
     pub enum EventLevel {
-        /// Something that must never happen.
+        /// A condition that must never occur.
         Error,
         /// An operator may have to act.
         Warn,
-        /// A change of state, rare in ordinary work.
+        /// A change of state that is rare in normal operation.
         Info,
-        /// One per request or attempt.
+        /// An event that occurs for each request or attempt.
         Debug,
     }
 }
--- a/crates/coltsfootroute/src/event/event_macro.rs
+++ b/crates/coltsfootroute/src/event/event_macro.rs
@@ -1,7 +1,7 @@
-//! Macro that declares the kinds of events.
+//! Macro that declares the event kinds.
 
-/// Declares [`EventKind`](super::EventKind): each kind's name, level and typed fields stand in one
-/// place, so the JSON form, the log line and the level can't drift apart.
+/// Declares [`EventKind`](super::EventKind). Each kind's name, level and typed fields are declared in one place, so
+/// that the JSON form, the log line and the level can't diverge.
 macro_rules! event_kinds {
     ($(
         $(#[$meta:meta])*
@@ -10,7 +10,7 @@
         }
     )*) => {
         record_type! {
-            /// What happened. Durations are in the unit that ends the field's name.
+            /// Kind of an event, with its fields. The suffix of a duration field is its unit.
             #[derive(serde::Serialize, serde::Deserialize)]
             #[serde(tag = "event")]
             pub enum EventKind {
@@ -28,14 +28,14 @@
             /// Names of all kinds, in the order of declaration.
             pub const NAMES: &'static [&'static str] = &[$($name),*];
 
-            /// The kind's name in logs and JSON.
+            /// Returns the kind's name in logs and JSON.
             pub fn name(&self) -> &'static str {
                 match self {
                     $(Self::$kind { .. } => $name,)*
                 }
             }
 
-            /// How severe the event is.
+            /// Returns the severity of the event.
             pub fn level(&self) -> EventLevel {
                 match self {
                     $(Self::$kind { .. } => EventLevel::$level,)*
--- a/crates/coltsfootroute/src/event/event_record.rs
+++ b/crates/coltsfootroute/src/event/event_record.rs
@@ -1,34 +1,34 @@
-//! One recorded event.
+//! Recorded event.
 
 use super::{EventKind, HybridStamp, incarnation_form::IncarnationForm, key_values::KeyValues};
 use crate::id::{Incarnation, NodeId, RequestId};
 
 record_type! {
-    /// One recorded event of one node.
+    /// Recorded event of one node.
     ///
-    /// `(node, life, sequence)` identifies it; `(stamp, node, sequence)` orders all events of all nodes,
-    /// effects after their causes.
+    /// `(node, incarnation, sequence)` identifies the event. `(stamp, node, sequence)` orders the events of all nodes,
+    /// with effects after their causes.
     #[derive(serde::Serialize, serde::Deserialize)]
     pub struct EventRecord {
-        /// When, on the hybrid logical clock.
+        /// Time of the event on the hybrid logical clock.
         pub stamp: HybridStamp,
-        /// Where.
+        /// Node that recorded the event.
         pub node: NodeId,
-        /// The incarnation with which the process started: tells the lives at one address apart.
+        /// Incarnation with which the process started. Distinguishes the processes that have run at one address.
         #[serde(rename = "life", with = "IncarnationForm")]
         pub incarnation: Incarnation,
-        /// Position among the events of that life: 0, 1, 2, … A number missing between two records is an event
-        /// that was dropped.
+        /// Sequence number among the events of that incarnation: 0, 1, 2, … A number missing between two records is a
+        /// dropped event.
         pub sequence: u64,
-        /// What.
+        /// Kind of the event, with its fields.
         #[serde(flatten)]
         pub kind: EventKind,
     }
 }
 
 impl EventRecord {
-    /// The record as one log line, without line end: `event=…` first, then the fields of the kind, then
-    /// where and when.
+    /// Formats the record as one log line without a line terminator: `event=…` first, then the fields of the kind, then
+    /// the node, incarnation, sequence number and stamp.
     pub fn to_key_values(&self) -> String {
         let mut line = KeyValues::new();
         line.push("event", &self.kind.name());
@@ -40,9 +40,9 @@
         line.into_line()
     }
 
-    /// The record as one line of JSON, without line end.
+    /// Formats the record as one line of JSON without a line terminator.
     pub fn to_json(&self) -> String {
-        // Every field is a number, text or enumeration: serialising to a string can't fail.
+        // Serialization can't fail: every field is a number, text or enumeration.
         serde_json::to_string(self).unwrap_or_default()
     }
 
@@ -50,23 +50,23 @@
     ///
     /// # Errors
     ///
-    /// [`EventLineError`] if the line holds no record or one of an unknown kind.
+    /// Returns [`EventLineError`] if the line contains no record or one of an unknown kind.
     pub fn from_json(line: &str) -> Result<Self, EventLineError> {
         serde_json::from_str(line).map_err(|error| EventLineError(error.to_string()))
     }
 
-    /// The client request that the event belongs to, if any.
+    /// Returns the client request that the event belongs to; `None` if it belongs to none.
     pub fn request(&self) -> Option<RequestId> {
         self.kind.request()
     }
 
-    /// Key of the order over all nodes.
+    /// Returns the key that orders events across all nodes.
     pub fn order_key(&self) -> (HybridStamp, NodeId, u64) {
         (self.stamp, self.node, self.sequence)
     }
 }
 
-/// The line holds no event record.
+/// Error for a line that contains no event record.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no event record: {0}")]
 pub struct EventLineError(pub String);
--- a/crates/coltsfootroute/src/event/event_ring.rs
+++ b/crates/coltsfootroute/src/event/event_ring.rs
@@ -1,28 +1,28 @@
-//! Bounded memory of recent records.
+//! Bounded buffer of recent event records.
 
 use std::collections::VecDeque;
 
 use super::EventRecord;
 
-/// The latest records of one node, bounded: a new record pushes out the oldest.
+/// Ring buffer of the latest records of one node. When it is full, a new record evicts the oldest.
 #[derive(Clone, Debug)]
 pub struct EventRing {
-    /// In order of sequence number; at most `capacity`.
+    /// Records in order of sequence number, at most `capacity`.
     records: VecDeque<EventRecord>,
-    /// At least 1.
+    /// Maximum number of records, at least 1.
     capacity: usize,
-    /// Records pushed out so far.
+    /// Number of evicted records.
     evicted: u64,
 }
 
 impl EventRing {
-    /// An empty ring for `capacity` records, at least 1.
+    /// Creates an empty ring for `capacity` records, or for 1 if `capacity` is 0.
     pub fn new(capacity: usize) -> Self {
         let capacity = capacity.max(1);
         Self { records: VecDeque::with_capacity(capacity), capacity, evicted: 0 }
     }
 
-    /// Adds the newest record; sequence numbers must rise.
+    /// Appends the newest record. Sequence numbers must increase.
     pub fn push(&mut self, record: EventRecord) {
         if self.records.len() == self.capacity {
             self.records.pop_front();
@@ -31,9 +31,9 @@
         self.records.push_back(record);
     }
 
-    /// Up to `limit` records from sequence number `sequence` on, oldest first. Where `sequence` has been
-    /// pushed out already, the first record's higher number shows the gap. A `sequence` that the ring
-    /// has not reached belongs to an earlier life of the node: the read then starts with the oldest.
+    /// Returns up to `limit` records from sequence number `sequence` on, oldest first. If `sequence` has been evicted,
+    /// the higher number of the first record shows the gap. A `sequence` that the ring has not reached belongs to an
+    /// earlier incarnation of the node, so the read starts with the oldest record.
     pub fn read_since(&self, sequence: u64, limit: usize) -> Vec<EventRecord> {
         let next = self.records.back().map_or(0, |record| record.sequence + 1);
         let is_earlier_incarnation = sequence > next;
@@ -42,7 +42,7 @@
         self.records.iter().skip(start).take(limit).cloned().collect()
     }
 
-    /// Records pushed out so far.
+    /// Returns the number of evicted records.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
--- a/crates/coltsfootroute/src/event/event_subject.rs
+++ b/crates/coltsfootroute/src/event/event_subject.rs
@@ -1,10 +1,10 @@
-//! What an event is about: the request and the service that it speaks of.
+//! Request and service to which an event relates.
 
 use super::EventKind;
 use crate::{id::RequestId, name::ServiceName};
 
 impl EventKind {
-    /// The client request that the event belongs to, if any.
+    /// Returns the client request that the event belongs to; `None` if it belongs to none.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             Self::RequestAdmitted { request, .. }
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The service that the event speaks of, if any.
+    /// Returns the service to which the event relates; `None` if there is none.
     pub fn service(&self) -> Option<&ServiceName> {
         match self {
             Self::RequestAdmitted { service, .. }
--- a/crates/coltsfootroute/src/event/event_text.rs
+++ b/crates/coltsfootroute/src/event/event_text.rs
@@ -1,4 +1,4 @@
-//! Text of a field's value.
+//! Text form of the values of event fields.
 
 use std::{fmt, net::SocketAddr};
 
@@ -12,9 +12,9 @@
     quarantine::{CrashId, RequestFingerprint},
 };
 
-/// A value that an event's field can hold. Absent values have no text and are left out of the line.
+/// Value of an event's field. Absent values have no text and are omitted from the log line.
 pub(super) trait EventText {
-    /// The value as it is shown, before escaping.
+    /// Returns the displayed value before escaping; `None` if the value is absent.
     fn event_text(&self) -> Option<&dyn fmt::Display>;
 }
 
--- a/crates/coltsfootroute/src/event/hybrid_stamp.rs
+++ b/crates/coltsfootroute/src/event/hybrid_stamp.rs
@@ -3,27 +3,27 @@
 use std::{fmt, str::FromStr};
 
 value_type! {
-    /// A point of the hybrid logical clock: ordered by wall time, then by counter.
+    /// Stamp of the hybrid logical clock, ordered by wall time, then by counter.
     ///
-    /// Shown as `{wall_ms}.{counter}`.
+    /// Formatted as `{wall_ms}.{counter}`.
     #[derive(Default, serde::Serialize, serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct HybridStamp {
-        /// Milliseconds since the Unix epoch: the highest wall time that the process has seen, its own or
-        /// in a message.
+        /// Highest wall time that the process has seen, its own or in a message, in milliseconds since the Unix epoch.
         pub wall_ms: u64,
-        /// Orders the events within one `wall_ms`.
+        /// Counter that orders the events within one `wall_ms`.
         pub counter: u32,
     }
 }
 
 impl HybridStamp {
-    /// The stamp `counter` steps into `wall_ms`.
+    /// Creates the stamp with the given wall time and counter.
     pub fn new(wall_ms: u64, counter: u32) -> Self {
         Self { wall_ms, counter }
     }
 
-    /// The next higher stamp at the same wall time.
+    /// Returns the next higher stamp: the next counter at the same wall time, or the next millisecond if the counter
+    /// overflows.
     pub(super) fn next(self) -> Self {
         match self.counter.checked_add(1) {
             Some(counter) => Self { counter, ..self },
@@ -50,7 +50,7 @@
     }
 }
 
-/// The text is no stamp.
+/// Error for a text that isn't a stamp.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed stamp `{0}`: expected `milliseconds.counter`")]
 pub struct MalformedStamp(pub String);
--- a/crates/coltsfootroute/src/event/key_values.rs
+++ b/crates/coltsfootroute/src/event/key_values.rs
@@ -1,4 +1,4 @@
-//! One log line of `key=value` pairs.
+//! Formatting of a log line of `key=value` pairs.
 
 use std::fmt::{Display, Write};
 
@@ -6,9 +6,9 @@
 
 /// Builds one line of `key=value` pairs separated by single spaces.
 ///
-/// A value that holds anything but plain visible ASCII is quoted, with quotes, backslashes, control
-/// characters and line separators escaped as in a Rust string literal: no value can end the line, start
-/// a pair or forge a quote.
+/// A value that is empty or contains anything other than visible ASCII without `"`, `=` and `\` is quoted. Quotes,
+/// backslashes, control characters and line separators are escaped as in a Rust string literal, so that no value can
+/// end the line, start a pair or forge a quote.
 pub(super) struct KeyValues {
     line: String,
 }
@@ -18,7 +18,7 @@
         Self { line: String::new() }
     }
 
-    /// Appends a pair. `key` is a fixed name, never data.
+    /// Appends a pair. `key` is a fixed name, never input data.
     pub(super) fn push(&mut self, key: &'static str, value: &dyn Display) {
         if !self.line.is_empty() {
             self.line.push(' ');
@@ -28,7 +28,7 @@
         self.push_value(&value.to_string());
     }
 
-    /// Appends an event's field, if it has a value.
+    /// Appends an event's field if it has a value.
     pub(super) fn push_field(&mut self, key: &'static str, field: &impl EventText) {
         if let Some(value) = field.event_text() {
             self.push(key, value);
--- a/crates/coltsfootroute/src/event/request_text.rs
+++ b/crates/coltsfootroute/src/event/request_text.rs
@@ -1,4 +1,4 @@
-//! Serde form of a request's identity: its text, since JSON numbers don't hold 128 bits.
+//! Serde form of a request's identity as text, since JSON numbers can't represent 128 bits.
 
 use std::borrow::Cow;
 
--- a/crates/coltsfootroute/src/lib.rs
+++ b/crates/coltsfootroute/src/lib.rs
@@ -1,8 +1,8 @@
-//! Coordination parts of an overload control layer for service call graphs.
+//! Coordination logic of an overload control layer for service call graphs.
 //!
-//! Every decision of the system lives here, without I/O: time comes in as a [`time::MonotonicTime`],
-//! randomness from a seeded generator, and effects go out as typed values that the embedding process
-//! carries out. Data flows one way: call → classify → admit → route → dispatch → account.
+//! This crate makes every decision of the system without I/O: time is passed in as a [`time::MonotonicTime`],
+//! randomness comes from a seeded generator, and effects are returned as typed values that the embedding process
+//! executes. Data flows one way: call → classify → admit → route → dispatch → account.
 
 #[macro_use]
 mod macros;
--- a/crates/coltsfootroute/src/macros.rs
+++ b/crates/coltsfootroute/src/macros.rs
@@ -1,6 +1,6 @@
-//! Macros for the derives and newtypes that recur across the crate.
+//! Macros for derives and newtypes that are used throughout the crate.
 
-/// Derives the common set for a small plain value: `Clone`, `Copy`, `Debug`, equality, order, hash.
+/// Derives the common traits of a small plain value: `Clone`, `Copy`, `Debug`, equality, ordering and hashing.
 macro_rules! value_type {
     ($(#[$meta:meta])* $vis:vis struct $($rest:tt)*) => {
         $(#[$meta])*
@@ -14,7 +14,7 @@
     };
 }
 
-/// Derives the common set for a record that owns data: `Clone`, `Debug`, equality.
+/// Derives the common traits of a record that owns data: `Clone`, `Debug` and equality.
 macro_rules! record_type {
     ($(#[$meta:meta])* $vis:vis struct $($rest:tt)*) => {
         $(#[$meta])*
@@ -28,7 +28,7 @@
     };
 }
 
-/// Declares a name: an immutable string, shared cheaply between threads and compared by content.
+/// Declares a name type: an immutable string that is cheap to share between threads and is compared by content.
 macro_rules! name_type {
     ($(#[$meta:meta])* $name:ident) => {
         $(#[$meta])*
@@ -39,12 +39,12 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// Wraps `text`; the caller has checked its form where that matters.
+            /// Creates a name from `text`. The caller must validate its format if required.
             pub fn new(text: &str) -> Self {
                 Self(text.into())
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -76,7 +76,7 @@
     };
 }
 
-/// Shows a type as the text of its `as_str`.
+/// Implements `Display` with the text of `as_str`.
 macro_rules! display_as_str {
     ($name:ident) => {
         impl std::fmt::Display for $name {
@@ -87,7 +87,8 @@
     };
 }
 
-/// Gives an identity of one unsigned number its text: all its hexadecimal digits, zeros included.
+/// Implements the text form of an identity that wraps one unsigned number: all hexadecimal digits, including leading
+/// zeros.
 macro_rules! hex_text {
     ($name:ident($number:ty)) => {
         impl std::fmt::Display for $name {
--- a/crates/coltsfootroute/tests/integration/event.rs
+++ b/crates/coltsfootroute/tests/integration/event.rs
@@ -1,4 +1,4 @@
-//! Events: one line whatever the values hold, the order of the logical clock, visible gaps.
+//! Tests of events: the format of log lines for arbitrary values, the order of the logical clock, visible gaps.
 
 use std::net::SocketAddr;
 
@@ -50,7 +50,7 @@
     EventKind::StoreDown { error: error.to_owned() }
 }
 
-/// Splits a line into pairs, undoing the quotes; `None` if it is not well formed.
+/// Splits a line into pairs and unquotes the values; `None` if the line is malformed.
 fn pairs(line: &str) -> Option<Vec<(String, String)>> {
     let mut pairs = Vec::new();
     let mut rest = line;
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_stamp_beyond_the_bound_is_not_taken_over() {
+fn a_stamp_beyond_the_drift_limit_is_rejected() {
     let mut clock = HybridClock::new().with_max_ahead_ms(100);
     let far = HybridStamp::new(START_MS + 101, 0);
 
@@ -282,6 +282,6 @@
     assert_eq!(sequences(0, 10), [2, 3, 4]);
     assert_eq!(sequences(3, 1), [3]);
     assert!(sequences(5, 10).is_empty());
-    assert_eq!(sequences(6, 10), [2, 3, 4], "a number from an earlier life");
+    assert_eq!(sequences(6, 10), [2, 3, 4], "a number from an earlier incarnation");
     assert_eq!(ring.evicted(), 2);
 }
