--- a/crates/coltsfootroute/src/event/event_text.rs
+++ b/crates/coltsfootroute/src/event/event_text.rs
@@ -1,4 +1,4 @@
-//! Text of a field's value.
+//! Text form of the values of event fields.
 
 use std::{fmt, net::SocketAddr};
 
@@ -12,13 +12,13 @@
     quarantine::{CrashId, RequestFingerprint},
 };
 
-/// A value that an event's field can hold. Absent values have no text and are left out of the line.
+/// Value of an event's field. Absent values have no text and are omitted from the log line.
 pub(super) trait EventText {
-    /// The value as it is shown, before escaping.
+    /// Returns the displayed value before escaping; `None` if the value is absent.
     fn event_text(&self) -> Option<&dyn fmt::Display>;
 }
 
-macro_rules! shown_by_display {
+macro_rules! impl_event_text {
     ($($type:ty),* $(,)?) => {
         $(impl EventText for $type {
             fn event_text(&self) -> Option<&dyn fmt::Display> {
@@ -28,7 +28,7 @@
     };
 }
 
-shown_by_display!(
+impl_event_text!(
     bool,
     u16,
     u32,
--- a/crates/coltsfootroute/src/revision/submission.rs
+++ b/crates/coltsfootroute/src/revision/submission.rs
@@ -12,36 +12,36 @@
 };
 use indexmap::IndexMap;
 
-/// Most failed requests before a submission gives up.
+/// Number of failed requests after which a submission is abandoned.
 pub const MAX_ATTEMPTS: u32 = 16;
 
-/// Takes one document into the table service by compare-and-set on `schema/head`.
+/// Writes one document to the table service by compare-and-set on `schema/head`.
 ///
-/// Reads the head first, then the row of its own idempotency key. In that order, "head moved on, key
-/// absent" proves that an earlier write of this key that is still on its way can't take effect any more:
-/// it is conditional on the head's old version. While the head stands where it stood, the same write can
-/// safely be sent again: the two exclude each other.
+/// Reads the head first, then the row of its own idempotency key. In that order, a changed head and an absent key
+/// prove that an earlier write with this key that is still in transit can no longer take effect, since it is
+/// conditional on the head's old version. While the head is unchanged, the same write can safely be sent again: at
+/// most one of the two writes succeeds.
 #[derive(Clone, Debug)]
 pub struct Submission {
     request: SubmissionRequest,
     content: ContentDigest,
     phase: Phase,
-    /// The head as last read.
+    /// Head row as last read, with its version.
     head: Option<(RowVersion, HeadRow)>,
-    /// Failed requests.
+    /// Number of failed requests.
     attempts: u32,
     /// Whether a write of this submission may have taken effect or may still do so.
-    is_in_doubt: bool,
+    may_take_effect: bool,
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
     ReadHead,
     ReadKey,
-    /// Reads the revision that this key was accepted as.
-    ReadOwn(Revision),
+    /// Reads the revision that the submission with this key was accepted as.
+    ReadAccepted(Revision),
     ReadCurrent(Revision),
-    /// Reads the revision that the operator expected, to show what changed since.
+    /// Reads the revision that the operator expected, to report the changes since then.
     ReadExpected(RevisionRow),
     Write(RevisionRecord),
 }
@@ -49,7 +49,7 @@
 type StepResult = Result<SubmissionStep, RowFault>;
 
 impl Submission {
-    /// A submission that hasn't sent anything yet.
+    /// Creates a submission that has sent no request.
     pub fn new(request: SubmissionRequest) -> Self {
         let content = ContentDigest::of_document(&request.document);
         Self {
@@ -58,25 +58,25 @@
             phase: Phase::ReadHead,
             head: None,
             attempts: 0,
-            is_in_doubt: false,
+            may_take_effect: false,
         }
     }
 
-    /// The first request.
+    /// Returns the first step.
     pub fn start(&mut self) -> SubmissionStep {
         self.enter(Phase::ReadHead)
     }
 
-    /// Takes the reply to the last request.
-    pub fn take(&mut self, reply: TableReply) -> SubmissionStep {
+    /// Handles the reply to the last request and returns the next step.
+    pub fn handle_reply(&mut self, reply: TableReply) -> SubmissionStep {
         let step = match (reply, self.phase.clone()) {
             (TableReply::Committed, Phase::Write(record)) => {
                 done(SubmissionResult::Accepted(record))
             }
-            (TableReply::Rows(rows), phase) => self.take_rows(rows.first(), phase),
+            (TableReply::Rows(rows), phase) => self.handle_rows(rows.first(), phase),
             (TableReply::Conflict(_), Phase::Write(_)) => self.retry(Phase::ReadHead),
             (reply, Phase::Write(_)) => {
-                self.is_in_doubt |= reply != TableReply::Unavailable;
+                self.may_take_effect |= reply != TableReply::Unavailable;
                 self.retry_later(Phase::ReadHead)
             }
             (_, phase) => self.retry_later(phase),
@@ -84,58 +84,60 @@
         step.unwrap_or_else(|fault| SubmissionStep::Done(SubmissionResult::Faulty(fault)))
     }
 
-    fn take_rows(&mut self, row: Option<&StoredRow>, phase: Phase) -> StepResult {
+    fn handle_rows(&mut self, row: Option<&StoredRow>, phase: Phase) -> StepResult {
         match phase {
-            Phase::ReadHead => self.take_head(row),
-            Phase::ReadKey => self.take_key(row),
-            Phase::ReadOwn(revision) => self.take_own(revision, row),
-            Phase::ReadCurrent(revision) => self.decide(Some(required(revision, row)?)),
+            Phase::ReadHead => self.handle_head(row),
+            Phase::ReadKey => self.handle_key(row),
+            Phase::ReadAccepted(revision) => self.handle_accepted(revision, row),
+            Phase::ReadCurrent(revision) => {
+                self.write_or_conflict(Some(require_revision(revision, row)?))
+            }
             Phase::ReadExpected(current) => {
-                let expected = required(self.request.expected, row)?;
+                let expected = require_revision(self.request.expected, row)?;
                 conflict(Some(current), &expected.document)
             }
-            // Rows don't answer a write: whether it took effect is unknown.
+            // Rows are not a valid reply to a write: whether the write took effect is unknown.
             Phase::Write(_) => {
-                self.is_in_doubt = true;
+                self.may_take_effect = true;
                 self.retry_later(Phase::ReadHead)
             }
         }
     }
 
-    fn take_head(&mut self, row: Option<&StoredRow>) -> StepResult {
+    fn handle_head(&mut self, row: Option<&StoredRow>) -> StepResult {
         self.head = match row {
-            Some(row) => Some((row.version, schema_rows::decoded(row)?)),
+            Some(row) => Some((row.version, schema_rows::decode(row)?)),
             None => None,
         };
         Ok(self.enter(Phase::ReadKey))
     }
 
-    fn take_key(&mut self, row: Option<&StoredRow>) -> StepResult {
+    fn handle_key(&mut self, row: Option<&StoredRow>) -> StepResult {
         let Some(row) = row else {
             return match self.head_revision() {
-                Revision::ZERO => self.decide(None),
+                Revision::ZERO => self.write_or_conflict(None),
                 revision => Ok(self.enter(Phase::ReadCurrent(revision))),
             };
         };
-        let own: KeyRow = schema_rows::decoded(row)?;
-        if own.content == self.content {
-            Ok(self.enter(Phase::ReadOwn(own.revision)))
+        let key_row: KeyRow = schema_rows::decode(row)?;
+        if key_row.content == self.content {
+            Ok(self.enter(Phase::ReadAccepted(key_row.revision)))
         } else {
-            done(SubmissionResult::KeyReused(own.revision))
+            done(SubmissionResult::KeyReused(key_row.revision))
         }
     }
 
-    fn take_own(&mut self, revision: Revision, row: Option<&StoredRow>) -> StepResult {
-        let record = required(revision, row)?.record;
-        done(if self.is_in_doubt {
+    fn handle_accepted(&mut self, revision: Revision, row: Option<&StoredRow>) -> StepResult {
+        let record = require_revision(revision, row)?.record;
+        done(if self.may_take_effect {
             SubmissionResult::Accepted(record)
         } else {
             SubmissionResult::AlreadyAccepted(record)
         })
     }
 
-    /// Writes if the newest revision is the one expected.
-    fn decide(&mut self, current: Option<RevisionRow>) -> StepResult {
+    /// Writes the new revision if the newest revision is the expected one; otherwise reports a conflict.
+    fn write_or_conflict(&mut self, current: Option<RevisionRow>) -> StepResult {
         let (newest, expected) = (self.head_revision(), self.request.expected);
         if newest == expected {
             let record = self.next_record(current.as_ref().map(|row| &row.document));
@@ -144,7 +146,7 @@
         match current {
             Some(row) if expected == Revision::ZERO => conflict(Some(row), &empty_document()),
             Some(row) if expected < newest => Ok(self.enter(Phase::ReadExpected(row))),
-            // The operator names a revision that doesn't exist: there is nothing to compare with.
+            // The expected revision doesn't exist, so there is nothing to compare with.
             Some(row) => conflict(Some(row.clone()), &row.document),
             None => conflict(None, &empty_document()),
         }
@@ -169,11 +171,11 @@
         SubmissionStep::Send(request)
     }
 
-    /// Goes on with `phase` after a failure, unless there were too many.
+    /// Continues with `phase` after a failed request, or ends the submission after [`MAX_ATTEMPTS`] failures.
     fn retry(&mut self, phase: Phase) -> StepResult {
         self.attempts += 1;
         if self.attempts >= MAX_ATTEMPTS {
-            return done(SubmissionResult::Unresolved { may_take_effect: self.is_in_doubt });
+            return done(SubmissionResult::Unresolved { may_take_effect: self.may_take_effect });
         }
         Ok(self.enter(phase))
     }
@@ -189,7 +191,7 @@
         TableRequest::Read(match phase {
             Phase::ReadHead => schema_rows::head_key(),
             Phase::ReadKey => schema_rows::submission_key(&self.request.key),
-            Phase::ReadOwn(revision) | Phase::ReadCurrent(revision) => {
+            Phase::ReadAccepted(revision) | Phase::ReadCurrent(revision) => {
                 schema_rows::revision_key(*revision)
             }
             Phase::ReadExpected(_) => schema_rows::revision_key(self.request.expected),
@@ -204,13 +206,13 @@
             .map_or(RowCondition::Absent, |(version, _)| RowCondition::Version(*version));
         let key = self.request.key.clone();
         let head = HeadRow { revision: record.revision, chain: record.chain, key };
-        let own = KeyRow { revision: record.revision, content: record.content };
+        let key_row = KeyRow { revision: record.revision, content: record.content };
         let revision =
             RevisionRow { record: record.clone(), document: self.request.document.clone() };
         vec![
             write(schema_rows::head_key(), head_condition, &head),
             write(schema_rows::revision_key(record.revision), RowCondition::Absent, &revision),
-            write(schema_rows::submission_key(&self.request.key), RowCondition::Absent, &own),
+            write(schema_rows::submission_key(&self.request.key), RowCondition::Absent, &key_row),
         ]
     }
 
@@ -224,16 +226,16 @@
 }
 
 fn write(key: RowKey, condition: RowCondition, row: &impl serde::Serialize) -> RowWrite {
-    RowWrite { key, condition, value: Some(schema_rows::encoded(row)) }
+    RowWrite { key, condition, value: Some(schema_rows::encode(row)) }
 }
 
-/// A revision's row that the head or a key row vouches for.
-fn required(revision: Revision, row: Option<&StoredRow>) -> Result<RevisionRow, RowFault> {
+/// Decodes a revision's row that must exist, since the head or a key row refers to it.
+fn require_revision(revision: Revision, row: Option<&StoredRow>) -> Result<RevisionRow, RowFault> {
     let Some(row) = row else {
         let key = schema_rows::revision_key(revision);
         return Err(schema_rows::fault(&key, "missing".to_owned()));
     };
-    schema_rows::decoded_revision(row)
+    schema_rows::decode_revision(row)
 }
 
 fn conflict(current: Option<RevisionRow>, expected: &SchemaDocument) -> StepResult {
@@ -246,7 +248,7 @@
     SchemaDocument { deployment: String::new(), services: Vec::new(), teams: Vec::new() }
 }
 
-/// Services added, changed or removed, in order of their names.
+/// Returns the services added, changed or removed, sorted by name.
 fn changed_services(old: Option<&SchemaDocument>, new: &SchemaDocument) -> Vec<ServiceName> {
     let digests = |document: &SchemaDocument| -> IndexMap<ServiceName, ContentDigest> {
         let services = document.services.iter();
--- a/crates/coltsfootroute/src/schema.rs
+++ b/crates/coltsfootroute/src/schema.rs
@@ -1,4 +1,4 @@
-//! The schema an operator submits: services, operations, the call graph and what matters most.
+//! Schema that an operator submits: services, operations, the call graph, teams and importance.
 
 mod call_edge;
 mod call_graph;
@@ -17,8 +17,8 @@
 mod service_entry;
 mod source_fields;
 mod source_node;
-mod source_notes;
 mod source_reader;
+mod source_report;
 mod team_entry;
 
 pub use call_edge::CallEdge;
--- a/crates/coltsfootroute/src/schema/source_node.rs
+++ b/crates/coltsfootroute/src/schema/source_node.rs
@@ -1,23 +1,23 @@
-//! YAML text as a tree that keeps places.
+//! Tree of YAML values with their locations in the text.
 
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::Spanned;
 use std::fmt;
 
 record_type! {
-    /// A value of the text and where it stands.
+    /// YAML value and its location in the text.
     pub(super) struct SourceNode {
         /// Line, from 1.
         pub line: u64,
         /// Column, from 1.
         pub column: u64,
-        /// The value.
+        /// Value at this location.
         pub value: SourceValue,
     }
 }
 
 record_type! {
-    /// A value of the text. Keys of a map may repeat: the reader reports them.
+    /// YAML value. Keys of a map may be duplicated; the reader reports that.
     pub(super) enum SourceValue {
         Null,
         Flag(bool),
@@ -30,7 +30,7 @@
 }
 
 impl SourceValue {
-    /// The value's type, for messages.
+    /// Returns the name of the value's type, for messages.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Null => "nothing",
@@ -47,8 +47,8 @@
 impl<'de> Deserialize<'de> for SourceNode {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let spanned = Spanned::<SourceValue>::deserialize(deserializer)?;
-        let place = spanned.referenced;
-        Ok(Self { line: place.line(), column: place.column(), value: spanned.value })
+        let location = spanned.referenced;
+        Ok(Self { line: location.line(), column: location.column(), value: spanned.value })
     }
 }
 
--- a/crates/coltsfootroute/tests/integration/revision/state.rs
+++ b/crates/coltsfootroute/tests/integration/revision/state.rs
@@ -1,11 +1,11 @@
-//! What a state refuses, and the bound on tombstones.
+//! Tests of the inputs that a state rejects, of external histories and of the limit on tombstones.
 
 use super::world::document;
 use coltsfootroute::{
     name::OperatorName,
     revision::{
-        Applied, ChainDigest, ConfigState, ContentDigest, DeltaFault, MAX_TOMBSTONES, Revision,
-        RevisionDraft, RevisionRecord, SubmissionKey,
+        ApplyOutcome, ChainDigest, ConfigState, ContentDigest, DeltaFault, MAX_TOMBSTONES,
+        Revision, RevisionDraft, RevisionRecord, SubmissionKey,
     },
 };
 
@@ -20,13 +20,13 @@
     RevisionRecord::new(Revision(revision - 1), parent, draft)
 }
 
-/// A state that has put each text in force in turn, as revisions 1, 2, …
+/// Returns a state that has put each text in force in turn, as revisions 1, 2, …
 fn state_of(texts: &[&str]) -> ConfigState {
     let mut state = ConfigState::new();
     for (index, lines) in texts.iter().enumerate() {
         let parent = state.record().map_or(ChainDigest::ROOT, |record| record.chain);
         let record = record(index as u64 + 1, parent, lines);
-        state.apply_document(&record, &document(lines)).expect("it follows");
+        state.apply_document(&record, &document(lines)).expect("the next revision applies");
     }
     state
 }
@@ -71,7 +71,7 @@
     let applied = state.apply_document(&record(5, ChainDigest::ROOT, lines), &document(lines));
 
     let delta = state.delta_since(Revision(3)).expect("newer");
-    assert!(matches!(applied, Ok(Applied::Raised { changed, .. }) if changed.len() == 1));
+    assert!(matches!(applied, Ok(ApplyOutcome::Advanced { changed, .. }) if changed.len() == 1));
     assert_eq!((delta.from, delta.changes.len()), (Revision::ZERO, 2));
 }
 
@@ -83,7 +83,7 @@
     let early = state.delta_since(Revision(1)).expect("newer");
     let late = state.delta_since(Revision(2)).expect("newer");
 
-    assert!(early.is_snapshot(), "a tombstone was forgotten");
+    assert!(early.is_snapshot(), "a tombstone was dropped");
     assert_eq!((late.from, late.changes.len()), (Revision(2), 1));
 }
 
@@ -104,17 +104,17 @@
 fn an_outside_history_may_skip_revisions_and_never_goes_back() {
     let outside = |revision: u64, lines: &str| {
         let content = ContentDigest::of_document(&document(lines));
-        RevisionRecord::of_outside(Revision(revision), content, OperatorName::new("platform"))
+        RevisionRecord::of_external(Revision(revision), content, OperatorName::new("platform"))
     };
-    let mut state = ConfigState::with_outside_history();
+    let mut state = ConfigState::with_external_history();
 
     for (revision, lines) in [(4, "licences 30"), (5, "licences 40"), (9, "licences 50")] {
         let applied = state.apply_document(&outside(revision, lines), &document(lines));
-        assert!(matches!(applied, Ok(Applied::Raised { .. })), "{applied:?}");
+        assert!(matches!(applied, Ok(ApplyOutcome::Advanced { .. })), "{applied:?}");
     }
     let late = state.apply_document(&outside(5, "licences 40"), &document("licences 40"));
 
-    assert_eq!(late, Ok(Applied::AlreadyHeld));
+    assert_eq!(late, Ok(ApplyOutcome::AlreadyHeld));
     assert_eq!(state.document(), document("licences 50"));
 }
 
@@ -122,16 +122,16 @@
 fn an_outside_history_travels_in_deltas() {
     let outside = |revision: u64, lines: &str| {
         let content = ContentDigest::of_document(&document(lines));
-        RevisionRecord::of_outside(Revision(revision), content, OperatorName::new("platform"))
+        RevisionRecord::of_external(Revision(revision), content, OperatorName::new("platform"))
     };
     let (mut source, mut state) =
-        (ConfigState::with_outside_history(), ConfigState::with_outside_history());
+        (ConfigState::with_external_history(), ConfigState::with_external_history());
     let _ = source.apply_document(&outside(4, "licences 30"), &document("licences 30"));
     let _ = state.apply_document(&outside(4, "licences 30"), &document("licences 30"));
     let _ = source.apply_document(&outside(5, "licences 40"), &document("licences 40"));
 
     let applied = state.apply_delta(&source.delta_since(state.revision()).expect("newer"));
 
-    assert!(matches!(applied, Ok(Applied::Raised { .. })), "{applied:?}");
+    assert!(matches!(applied, Ok(ApplyOutcome::Advanced { .. })), "{applied:?}");
     assert_eq!(state.document(), document("licences 40"));
 }
--- a/crates/coltsfootroute/tests/integration/revision/world.rs
+++ b/crates/coltsfootroute/tests/integration/revision/world.rs
@@ -1,10 +1,10 @@
-//! Operators, nodes and what is on its way between them and the table service.
+//! Simulated operators and nodes, with the messages in transit between them and the table service.
 
 use super::fake_table::FakeTable;
 use coltsfootroute::{
     name::OperatorName,
     revision::{
-        Applied, ConfigDelta, ConfigState, DeltaFault, HeadReader, HistoryReader, ReaderStep,
+        ApplyOutcome, ConfigDelta, ConfigState, DeltaFault, HeadReader, HistoryReader, ReaderStep,
         Revision, RevisionRecord, StartGate, Submission, SubmissionKey, SubmissionRequest,
         SubmissionResult, SubmissionStep,
     },
@@ -13,30 +13,30 @@
 };
 use indexmap::IndexMap;
 
-/// How one request to the table service fares.
+/// Delivery of one request to the table service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
+pub enum Delivery {
     Delivered,
-    /// Refused, provably not carried out.
+    /// Rejected and certainly not executed.
     Down,
-    /// Carried out, but the reply is lost.
+    /// Executed, but the reply is lost.
     ReplyLost,
-    /// Lost for now; a write may still arrive later.
+    /// Reported as uncertain; a write may arrive later.
     Delayed,
 }
 
-/// A submission under way.
+/// A submission with its next request and its result.
 #[derive(Debug)]
 pub struct Runner {
     pub request: SubmissionRequest,
     submission: Submission,
     pub next: Option<TableRequest>,
-    /// Writes sent so far.
+    /// Number of writes sent.
     pub writes: usize,
     pub result: Option<SubmissionResult>,
 }
 
-/// One life of a node.
+/// One incarnation of a node.
 #[derive(Debug, Default)]
 pub struct Node {
     pub state: ConfigState,
@@ -47,13 +47,13 @@
 pub struct World {
     pub table: FakeTable,
     pub runners: IndexMap<String, Runner>,
-    /// Writes that were lost on the way and may arrive at any time.
+    /// Delayed writes, which may arrive at any time.
     pub delayed: Vec<TableRequest>,
     pub nodes: IndexMap<String, Node>,
     pub deltas: IndexMap<String, ConfigDelta>,
 }
 
-/// A document with one service a line: name and slots.
+/// Parses a document with one service per line: name and slots.
 pub fn document(lines: &str) -> SchemaDocument {
     let service = |line: &str| {
         let (name, slots) = line.split_once(' ').expect("name and slots");
@@ -90,25 +90,25 @@
         self.runners.insert(name.to_owned(), runner);
     }
 
-    /// Carries one request of a submission; nothing if it is done.
-    pub fn step(&mut self, name: &str, fate: Fate) {
+    /// Sends one request of a submission; does nothing if the submission is done.
+    pub fn step(&mut self, name: &str, delivery: Delivery) {
         let runner = &mut self.runners[name];
         let Some(request) = runner.next.take() else {
             return;
         };
         runner.writes += usize::from(matches!(request, TableRequest::Transact(_)));
-        let reply = carry(&mut self.table, &mut self.delayed, request, fate);
-        let step = runner.submission.take(reply);
+        let reply = deliver(&mut self.table, &mut self.delayed, request, delivery);
+        let step = runner.submission.handle_reply(reply);
         runner.follow(step);
     }
 
     pub fn run(&mut self, name: &str) {
         while self.runners[name].result.is_none() {
-            self.step(name, Fate::Delivered);
+            self.step(name, Delivery::Delivered);
         }
     }
 
-    /// Delayed writes arrive.
+    /// Delivers all delayed writes.
     pub fn deliver_delayed(&mut self) -> Vec<TableReply> {
         let delayed = std::mem::take(&mut self.delayed);
         delayed.iter().map(|request| self.table.execute(request)).collect()
@@ -118,12 +118,12 @@
         self.nodes.entry(name.to_owned()).or_default()
     }
 
-    /// A node reads the newest configuration from the table service.
-    pub fn load(&mut self, name: &str) -> Result<Applied, DeltaFault> {
+    /// Lets a node read the newest configuration from the table service.
+    pub fn load(&mut self, name: &str) -> Result<ApplyOutcome, DeltaFault> {
         let mut reader = HeadReader::new();
         let mut request = reader.start();
         let row = loop {
-            match reader.take(&self.table.execute(&request)) {
+            match reader.handle_reply(&self.table.execute(&request)) {
                 ReaderStep::Send(next) => request = next,
                 ReaderStep::Done(row) => break row,
                 other => panic!("{other:?}"),
@@ -131,9 +131,9 @@
         };
         let node = self.node(name);
         let Some(row) = row else {
-            return Ok(Applied::AlreadyHeld);
+            return Ok(ApplyOutcome::AlreadyHeld);
         };
-        node.gate.hear_store(row.record.revision);
+        node.gate.record_store_revision(row.record.revision);
         node.state.apply_document(&row.record, &row.document)
     }
 
@@ -141,7 +141,7 @@
         let mut reader = HistoryReader::new(Revision::ZERO, usize::MAX);
         let mut request = reader.start();
         loop {
-            match reader.take(&self.table.execute(&request)) {
+            match reader.handle_reply(&self.table.execute(&request)) {
                 ReaderStep::Send(next) => request = next,
                 ReaderStep::Done(records) => return records,
                 other => panic!("{other:?}"),
@@ -161,20 +161,20 @@
     }
 }
 
-fn carry(
+fn deliver(
     table: &mut FakeTable,
     delayed: &mut Vec<TableRequest>,
     request: TableRequest,
-    fate: Fate,
+    delivery: Delivery,
 ) -> TableReply {
-    match fate {
-        Fate::Delivered => table.execute(&request),
-        Fate::Down => TableReply::Unavailable,
-        Fate::ReplyLost => {
+    match delivery {
+        Delivery::Delivered => table.execute(&request),
+        Delivery::Down => TableReply::Unavailable,
+        Delivery::ReplyLost => {
             table.execute(&request);
             TableReply::Uncertain
         }
-        Fate::Delayed => {
+        Delivery::Delayed => {
             if matches!(request, TableRequest::Transact(_)) {
                 delayed.push(request);
             }
