--- a/crates/coltsfootroute/src/routing/upstream_pool/choosing.rs
+++ b/crates/coltsfootroute/src/routing/upstream_pool/choosing.rs
@@ -14,7 +14,7 @@
 };
 
 /// Multiple of the nearer upstream's latency that must fit into a call's remaining time for each unit of preference.
-/// One call in a hundred takes about four times the mean latency.
+/// Latencies vary: one call in a hundred takes about four times the mean.
 const LATENCIES_PER_PREFERENCE: f64 = 4.0;
 /// Longest time for which a leaving upstream is tried when no other upstream accepts calls. Longer than a stopping
 /// node keeps guarding its upstream, but short enough that nodes that are gone are soon no longer tried.
@@ -38,7 +38,8 @@
 
     /// Chooses like [`UpstreamPool::choose`], but prefers a guard that admits more calls of this importance to one
     /// with a lower cost. `admitted` returns the share that a guard admits, 0 to 1, as last reported to this caller.
-    /// The longer `time_left` is compared with the expected latency, the more the own failure domain is preferred.
+    /// The larger `time_left` is relative to the latency of the nearer upstream, the more the own failure domain is
+    /// preferred.
     pub fn choose_admitted(
         &mut self,
         now: MonotonicTime,
--- a/crates/coltsfootroute/src/routing/upstream_record.rs
+++ b/crates/coltsfootroute/src/routing/upstream_record.rs
@@ -132,9 +132,9 @@
         let part = (slots / f64::from(settings.callers.max(1))).clamp(1.0, MAX_SLOTS_PER_CALLER);
         let latency = self.latency.micros(now, settings.latency_window, baseline).max(1.0);
         let waiting = f64::from(self.in_flight) + part;
-        let room = slots * self.weight(now, settings);
+        let capacity = slots * self.weight(now, settings);
         let refusals = self.recent_refusals(now, settings);
-        latency * waiting / room * (1.0 + REFUSAL_COST_FACTOR * refusals)
+        latency * waiting / capacity * (1.0 + REFUSAL_COST_FACTOR * refusals)
     }
 
     /// Returns the weight, which rises to 1 during the slow start; always above 0.
