--- a/crates/coltsfootroute/tests/integration/freshness.rs
+++ b/crates/coltsfootroute/tests/integration/freshness.rs
@@ -1,4 +1,4 @@
-//! Proof that a configuration is the newest: what it proves, to whom, and for how long.
+//! Tests of the proof that a configuration is the newest: which revisions and nodes it applies to, and for how long.
 
 mod config_world;
 mod head_interval;
@@ -26,7 +26,8 @@
     RevisionProof { revision: Revision(revision), at: StoreTime(at) }
 }
 
-/// A node that holds revision 3 and has asked the store at 1,000 ms; the store's clock then showed 50,000 ms.
+/// Returns the state of a node on revision 3 that sent a request to the store at 1,000 ms, when the store's clock
+/// showed 50,000 ms.
 fn proved() -> ConfigFreshness {
     let mut freshness = ConfigFreshness::default();
     freshness.set_revision(Revision(3));
@@ -40,7 +41,7 @@
     freshness.set_revision(Revision(3));
 
     assert_eq!(freshness.age(at(1_000)), None);
-    // Nor by others: where their times lie on this node's clock is not known.
+    // Proofs of other nodes don't count either: the store's times can't be converted to this node's clock yet.
     freshness.record_proof(proof(3, 50_000));
     assert_eq!(freshness.age(at(1_000)), None);
 }
@@ -59,7 +60,7 @@
     freshness.record_proof(proof(3, 52_000));
 
     let age = freshness.age(at(9_000)).expect("a proof");
-    // At the earliest 2 s after the question at 1 s, less what clocks may drift apart.
+    // At the earliest 2 s after the request at 1 s, less the largest clock drift.
     assert!((millis(6_000)..millis(6_010)).contains(&age), "{age:?}");
 }
 
@@ -114,14 +115,14 @@
     freshness.record_local_read(at(1_000), Revision(3));
     freshness.record_local_read(at(2_000), Revision(4));
 
-    // Revision 4 is the newest, and not in force: the node knows that it is behind.
+    // Revision 4 is the newest and not in force: the node knows that its configuration is stale.
     assert_eq!(freshness.age(at(3_000)), None);
     freshness.set_revision(Revision(4));
     assert_eq!(freshness.age(at(3_000)), Some(millis(1_000)));
 }
 
-/// Pattern: nodes with clocks of their own ask now and then, tell one another what they know, and every message may be held
-/// up for seconds. Whatever a node takes to be the time of its proof, its revision really was the newest then.
+/// Pattern: nodes with different clocks query the store at random times and exchange proofs, and every message may be
+/// delayed by seconds. At the time that a node computes for its proof, its revision must have been the newest.
 #[test]
 fn no_delay_makes_a_proof_look_younger_than_it_is() {
     for seed in 0..200 {
@@ -135,7 +136,7 @@
 
 const NODES: usize = 5;
 
-/// A message under way, in true time.
+/// A message in transit, with its arrival in true time.
 struct Message {
     arrives: u64,
     to: usize,
@@ -143,9 +144,11 @@
 }
 
 enum Content {
-    /// The store's answer to a question that was asked at this time of the node's clock, and reached the store then.
+    /// The store's answer to a request that was sent at `asked` by the node's clock and reached the store at the true
+    /// time
+    /// `reached`.
     Answer { asked: MonotonicTime, reached: u64 },
-    /// What another node tells.
+    /// A proof sent by another node.
     Told(RevisionProof),
 }
 
@@ -153,18 +156,18 @@
     rng: Pcg64,
     /// True time in milliseconds.
     now: u64,
-    /// When each revision was accepted: revision `n` at place `n`.
+    /// True time at which each revision was accepted, indexed by revision.
     accepted: Vec<u64>,
     nodes: Vec<ProofNode>,
     messages: Vec<Message>,
-    /// Ages that were looked at and were there.
+    /// Number of checks in which a node had a proof.
     proved: usize,
 }
 
 struct ProofNode {
     freshness: ConfigFreshness,
     held: usize,
-    /// What its clock showed at true time 0, and its speed against true time in millionths.
+    /// Reading of the node's clock at true time 0, and its speed relative to true time in millionths.
     offset: u64,
     speed: u64,
 }
@@ -175,7 +178,7 @@
     }
 }
 
-/// What the store's clock showed at true time 0.
+/// Reading of the store's clock at true time 0, in milliseconds.
 const STORE_OFFSET: u64 = 777_000;
 
 impl ProofWorld {
@@ -204,7 +207,7 @@
         self.check(node);
     }
 
-    /// A delay: short mostly, now and then of seconds.
+    /// Draws a delay in milliseconds: usually short, occasionally several seconds.
     fn delay(&mut self) -> u64 {
         match self.rng.random_range(0..8) {
             0 => self.rng.random_range(1_000..9_000),
@@ -214,7 +217,7 @@
 
     fn ask_store(&mut self, node: usize) {
         let asked = self.nodes[node].clock(self.now);
-        // The store answers when the question reaches it.
+        // The store answers as soon as the request reaches it.
         let reached = self.now + self.delay();
         let arrives = reached + self.delay();
         self.messages.push(Message {
@@ -259,7 +262,7 @@
         let node = &self.nodes[node];
         let Some(age) = node.freshness.age(node.clock(self.now)) else { return };
         self.proved += 1;
-        // The next revision was accepted no earlier than that.
+        // The revision in force was the newest until the next one was accepted.
         let Some(overtaken) = self.accepted.get(node.held + 1) else { return };
         let true_age = self.now - overtaken.min(&self.now);
         let slack = Duration::from_nanos(self.now * 400) + millis(1);
--- a/crates/coltsfootroute/tests/integration/freshness/config_world.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/config_world.rs
@@ -1,8 +1,9 @@
-//! A driven world: nodes that follow a store's configuration and tell each other, an operator who changes it, and harm.
+//! Simulation of nodes that follow a store's configuration and inform each other, an operator who changes it, and
+//! faults.
 //!
-//! The decisions are the library's. What is modelled: a question to the store that stays open until there is a change, each
-//! on a connection of its own; connections that go silent for good and are given up by
-//! keep-alives; a store that takes polls and never answers them; pulls from peers that may be dead.
+//! The decisions are made by the library. The simulation models long polls to the store, each on its own connection;
+//! connections that fail silently and are closed by keep-alives; a store that accepts polls and never answers them; and
+//! pulls from peers that may be dead.
 
 use std::{mem, time::Duration};
 
@@ -19,42 +20,42 @@
 
 use crate::membership::network::{GossipNetwork, Life, node_id};
 
-/// Step of the clock.
+/// Step of the simulated clock.
 const STEP: Duration = Duration::from_millis(20);
-/// Time in which an accepted change is in force, as the users state it.
+/// Time within which an accepted change has to be in force, as the users require.
 pub const APPLY_TIME: Duration = Duration::from_millis(2_000);
-/// A node that was fault_at so long ago or less is excused, and all are so long after the store was.
+/// Time after a fault for which its node is exempt from the check; after a fault of the store all nodes are.
 const EXEMPT_TIME: Duration = Duration::from_millis(3_000);
-/// Pause between two open polls, and after a failure.
+/// Pause between two polls, and after a failure.
 const FEED_PAUSE: Duration = Duration::from_millis(400);
-/// Time for an answer beyond what it is held, and longest time of a pull.
+/// Time allowed for an answer beyond the timeout of its poll, and longest time of a pull.
 const ANSWER_TIME: Duration = Duration::from_secs(1);
-/// A silent connection is given up by its keep-alives after this at most.
+/// Longest time until keep-alives close a connection that has failed silently.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(2);
-/// What the store's clock shows when the world's begins.
+/// Reading of the store's clock at the start of the simulation, in milliseconds.
 const STORE_CLOCK_MS: u64 = 5_000_000;
 const SERVICES: [&str; 2] = ["logbook", "renewals"];
 
-/// A question that the store holds until there is a change.
+/// A long poll that is pending at the store.
 struct PendingPoll {
     asked: MonotonicTime,
     ends: MonotonicTime,
-    /// When its connection is given up, if that is silent.
+    /// Time at which the connection is closed, if it has failed silently.
     broken: Option<MonotonicTime>,
-    /// The store has taken it and will not answer.
+    /// Whether the store has accepted the poll and will never answer it.
     is_dropped: bool,
     watch: FeedMonitor,
 }
 
 struct ConfigNode {
     held: Revision,
-    /// Newest revision that the store has told of.
+    /// Newest revision that the store has reported.
     heard: Revision,
     feed: Option<PendingPoll>,
     feed_due: MonotonicTime,
     hold: FeedTimeout,
     plan: PullPlan,
-    /// Pulls from peers that don't answer, and when they end.
+    /// Pulls from peers that don't answer, with the time at which they end.
     pulls: Vec<(NodeId, MonotonicTime)>,
     fault_at: Option<MonotonicTime>,
 }
@@ -63,18 +64,18 @@
     net: GossipNetwork,
     nodes: IndexMap<NodeId, ConfigNode>,
     rng: Pcg64,
-    /// Newest accepted revision first.
+    /// Accepted revisions, newest first.
     accepted: Vec<(Revision, MonotonicTime)>,
-    /// The store takes polls and never answers them until then.
+    /// Time until which the store accepts polls without ever answering them.
     silent_until: MonotonicTime,
     store_fault_at: Option<MonotonicTime>,
-    /// Questions to the store.
+    /// Number of polls sent to the store.
     pub polls: u64,
     pub breaches: Vec<String>,
 }
 
 impl ConfigWorld {
-    /// So many nodes, which know each other and the first configuration.
+    /// Creates a simulation of `nodes` nodes, which know each other and the first configuration.
     pub fn new(seed: u64, nodes: u8) -> Self {
         let mut net = GossipNetwork::new(seed);
         let ids: Vec<_> = (1..=nodes).map(node_id).collect();
@@ -109,13 +110,13 @@
         self.nodes.keys().copied().collect()
     }
 
-    /// The operator changes the configuration, and the store has accepted it.
+    /// Changes the configuration: the store accepts a new revision.
     pub fn change(&mut self) {
         let revision = Revision(self.accepted[0].0.0 + 1);
         self.accepted.insert(0, (revision, self.net.now));
     }
 
-    /// Open connections of a node to the store go silent for good, without a reset.
+    /// Lets the open connections of a node to the store fail silently, without a reset.
     pub fn silence_connections(&mut self, id: NodeId) {
         let broken = self.net.now + KEEPALIVE_TIME;
         let node = &mut self.nodes[&id];
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The store takes polls and never answers them; those that are open already stay so too.
+    /// Lets the store accept polls without ever answering them, including those already pending.
     pub fn silence_store(&mut self, lasts: Duration) {
         self.silent_until = self.net.now + lasts;
         self.store_fault_at = Some(self.silent_until);
@@ -136,25 +137,25 @@
         }
     }
 
-    /// The store has taken a node's open question and will never answer it.
+    /// Lets the store drop a node's pending poll, which it will never answer.
     pub fn drop_poll(&mut self, id: NodeId) {
         if let Some(feed) = &mut self.nodes[&id].feed {
             feed.is_dropped = true;
         }
     }
 
-    /// A node no longer reaches the others, nor they it; it reaches the store.
+    /// Partitions a node from the others; it still reaches the store.
     pub fn cut(&mut self, id: NodeId) {
         self.net.set_side(id, 1);
     }
 
-    /// A node loses power without a word.
+    /// Kills a node without notice to the others.
     pub fn kill(&mut self, id: NodeId) {
         self.net.kill(id);
         self.nodes[&id].fault_at = Some(self.net.now);
     }
 
-    /// It starts again and knows nothing.
+    /// Restarts a node without any state.
     pub fn restart(&mut self, id: NodeId) {
         self.net.restart(id);
         let service = SERVICES[self.nodes.get_index_of(&id).unwrap_or_default() % SERVICES.len()];
@@ -165,14 +166,15 @@
         self.nodes.insert(id, node);
     }
 
-    /// A node that has the newest revision by now; any if none has.
+    /// Returns a node on the newest revision; the first node if there is none.
     pub fn first_to_know(&self) -> NodeId {
         let newest = self.accepted[0].0;
         let mut up = self.nodes.iter().filter(|(id, _)| self.is_up(**id));
         up.find(|(_, node)| node.held == newest).map_or(self.ids()[0], |(id, _)| *id)
     }
 
-    /// Lets `time` pass, and looks at each step whether each node that nothing harms has what was accepted.
+    /// Runs the simulation for `time` and checks at each step that each node without faults is on the revision that is
+    /// due.
     pub fn run(&mut self, time: Duration) {
         let end = self.net.now + time;
         while self.net.now < end {
@@ -230,7 +232,7 @@
             node.hold.record_end(is_failed || newest > node.heard);
         }
         if is_answered {
-            // What the answer proves counts from the question, but its clock is read at the answer.
+            // The proof counts from the time of the request, but the store reads its clock at the answer.
             self.receive_store_answer(id, asked);
         }
     }
--- a/crates/coltsfootroute/tests/integration/freshness/head_interval.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/head_interval.rs
@@ -1,4 +1,4 @@
-//! Reads of the newest revision: soon by someone, and not by everyone.
+//! Tests of the interval of reads of the newest revision: some node reads soon, but not every node does.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Guards against an accepted revision that is unknown for minutes, and against reads that grow with the fleet.
+/// Guards against an accepted revision that stays unknown for minutes, and against a rate of reads that grows with the
+/// number of nodes.
 #[rstest]
 #[case::small(12)]
 #[case::large(200)]
--- a/crates/coltsfootroute/tests/integration/freshness/silence.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/silence.rs
@@ -1,4 +1,4 @@
-//! An accepted change is in force in time, whoever does not hear of it, and at what price.
+//! Tests that an accepted change is in force in time even if nodes miss it, and that the number of polls is bounded.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
     Duration::from_secs(seconds)
 }
 
-/// Guards against a fleet whose polls for changes all wait on silent connections: nobody hears of a change, and so
-/// nobody tells the others.
+/// Guards against polls that all wait on connections that have failed silently: no node receives a change, so that none
+/// can inform the others.
 #[rstest]
 #[case::small(5)]
 #[case::medium(14)]
@@ -36,7 +36,7 @@
     }
 }
 
-/// Guards against polls that a store has taken and will never answer: it looks like a time without changes.
+/// Guards against polls that a store has accepted and will never answer, which look like a time without changes.
 #[rstest]
 #[case::small(5)]
 #[case::medium(14)]
@@ -54,7 +54,7 @@
     }
 }
 
-/// Guards against a node that waits for one peer after the other: those that have just told of a change are dead.
+/// Guards against a node that pulls from one peer after the other while the peers that announced the change are dead.
 #[test]
 fn a_change_is_in_force_in_time_though_those_that_told_of_it_are_dead() {
     for seed in 0..SEEDS {
@@ -75,8 +75,8 @@
     }
 }
 
-/// Guards against a node that goes on waiting on a question that has missed a change: once others no longer reach it, it hears
-/// of nothing.
+/// Guards against a node that keeps waiting on a poll that has missed a change: once it is partitioned from the others,
+/// it would receive no changes at all.
 #[test]
 fn a_node_asks_anew_where_others_have_heard_more() {
     for seed in 0..SEEDS {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Harm drawn at random, two or three kinds at a time.
+/// Pattern: faults drawn at random, two or three kinds at a time.
 #[test]
 fn changes_are_in_force_in_time_under_any_harm() {
     for seed in 0..SEEDS {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Guards against a mend by which each node asks more often: calls to the store are paid for.
+/// Guards against a fix by which each node polls more often: calls to the store cost money.
 #[rstest]
 #[case::small(5)]
 #[case::medium(14)]
@@ -148,5 +148,5 @@
     assert!(asked <= MAX_POLLS_PER_S * elapsed, "{asked} of {nodes}");
 }
 
-/// Questions a second of all nodes together.
+/// Largest number of polls a second by all nodes together.
 const MAX_POLLS_PER_S: u64 = 3;
--- a/crates/coltsfootroute/tests/integration/once.rs
+++ b/crates/coltsfootroute/tests/integration/once.rs
@@ -1,4 +1,4 @@
-//! At-most-once execution: scenarios, fuzz and single decisions.
+//! Tests of at-most-once execution: scenarios, a stateful fuzz test and single decisions.
 
 mod decisions;
 mod fuzz;
--- a/crates/coltsfootroute/tests/integration/once/decisions.rs
+++ b/crates/coltsfootroute/tests/integration/once/decisions.rs
@@ -1,4 +1,4 @@
-//! Single decisions of at-most-once execution.
+//! Tests of single decisions of at-most-once execution.
 
 use std::time::Duration;
 
--- a/crates/coltsfootroute/tests/integration/once/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/once/fuzz.rs
@@ -14,12 +14,12 @@
 const GUARDS: usize = 3;
 const KEYS: [&str; 2] = ["k1", "k2"];
 const BODIES: [&str; 2] = ["pay 10", "pay 20"];
-/// Long enough for a long answer to go to the object store.
+/// Length of a long answer in bytes; enough for it to go to the object store.
 const LONG_ANSWER: usize = 100;
 const CASES: u32 = 1_500;
 const STEPS: usize = 60;
 
-/// Picks are taken modulo what there is to pick from.
+/// One step of the fuzz test. A `pick` is taken modulo the number of candidates.
 #[derive(Clone, Debug)]
 enum OnceTransition {
     Begin { guard: usize, key: usize, body: usize },
@@ -36,11 +36,11 @@
     Sweep,
 }
 
-/// The oracle lives in [`OnceWorld`], beside what it watches; the reference only draws transitions.
+/// Draws the transitions. The oracle is part of [`OnceWorld`], next to the state that it checks.
 struct OnceReference;
 
 impl ReferenceStateMachine for OnceReference {
-    /// Whether the keys begin as released ones.
+    /// Whether the keys have released claims at the start.
     type State = bool;
     type Transition = OnceTransition;
 
@@ -57,7 +57,7 @@
             1 => Just(StoreBehavior::Down),
         ];
         let (guard, pick) = (0..GUARDS, 0_usize..8);
-        // Mostly the same key and body: that is where they reply_to.
+        // Mostly the same key and body, since only such requests interfere.
         let key = prop_oneof![4 => Just(0_usize), 1 => Just(1_usize)];
         let body = prop_oneof![8 => Just(0_usize), 1 => Just(1_usize)];
         prop_oneof![
@@ -140,8 +140,8 @@
         world
     }
 
-    /// Once everything has settled, a key is free unless it ran, may have run in a life that ended, or
-    /// has expired.
+    /// Once everything has settled, a key is free unless its request ran, may have run in an incarnation
+    /// that has ended, or its record has expired.
     fn teardown(mut world: OnceWorld, _: bool) {
         world.settle();
         for guard in &world.guards {
--- a/crates/coltsfootroute/tests/integration/once/scenarios.rs
+++ b/crates/coltsfootroute/tests/integration/once/scenarios.rs
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Begins a call and lets the store reply_to its requests one after the other, `up` after those named.
+    /// Begins a call and lets the store handle its requests one after the other, with the given
+    /// behaviors first and `up` after them.
     fn call(&mut self, case: &mut TestCase) -> String {
         let name: String = case.take_arg("as").expect("as");
         let key: String = case.take_arg("key").expect("key");
--- a/crates/coltsfootroute/tests/integration/quarantine.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that end their upstreams: who is held back, who is not, and how nodes come to agree.
+//! Tests of the quarantine of requests that crash their upstreams: which requests are quarantined, which are not, and
+//! how nodes converge.
 
 mod fingerprint;
 mod innocent_reads;
--- a/crates/coltsfootroute/tests/integration/quarantine/fingerprint.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Tests of the fingerprint of requests.
 
 use coltsfootroute::quarantine::{FingerprintParts, RequestFingerprint};
 use rstest::rstest;
--- a/crates/coltsfootroute/tests/integration/quarantine/innocent_reads.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/innocent_reads.rs
@@ -1,8 +1,9 @@
-//! The load that is hardest for the innocent: what ends with an upstream is not what ended it.
+//! Tests of the load under which harmless requests are most likely to be quarantined.
 //!
-//! Three upstreams of one service, up to 120 calls under way at each. A read that many callers repeat is under way at all
-//! three whenever they end, and does not end them: a rack loses power, or another request does it. Counted is how many
-//! of its callers are turned away by a rule of three ends alone, and by that rule with what was answered of late.
+//! Three upstreams of one service have up to 120 calls in flight each. A read that many callers repeat is in flight at
+//! all three whenever they crash, but does not cause it: a rack loses power, or another request is fatal. The tests
+//! count how many of its callers are refused by the threshold of three crashes alone, and by the threshold together
+//! with the record of recently answered requests.
 
 use std::time::Duration;
 
@@ -19,41 +20,41 @@
 
 const START: MonotonicTime = MonotonicTime::from_millis(100_000_000);
 const UPSTREAMS: usize = 3;
-/// The popular read comes so often at each upstream: one call in each step.
+/// Length of a step; the popular read arrives once in each step at each upstream.
 const STEP: Duration = Duration::from_millis(50);
-/// Steps that one run takes.
+/// Duration of one run, in steps.
 const RUN_STEPS: u64 = 3;
-/// Steps for which an upstream that ended is away.
+/// Time for which a crashed upstream is down, in steps.
 const AWAY_STEPS: u64 = 60;
-/// Other calls that begin in each step at each upstream; each asks for something that nobody else asks for.
+/// Other calls that arrive in each step at each upstream; each is a request that no other caller sends.
 const OTHERS: u64 = 5;
 
-/// How ends come about.
+/// Cause of the crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndCause {
-    /// All upstreams at the same moment, from outside.
+    /// An external cause that affects all upstreams at the same time.
     Outside,
-    /// A request that comes again as soon as upstreams are back.
+    /// A fatal request that is sent again as soon as upstreams are back.
     Request,
 }
 
 struct Upstream {
-    /// Steps until it is back.
+    /// Steps until the upstream is back.
     away: u64,
-    /// What runs there, with the step in which its answer comes.
+    /// Requests in flight, with the step in which they are answered.
     running: Vec<(String, u64)>,
     answered: AnsweredRequests,
 }
 
 #[derive(Debug, Default)]
 struct Tally {
-    /// Callers of the popular read who came.
+    /// Number of calls of the popular read.
     popular: u64,
-    /// Those turned away.
+    /// Calls of the popular read that were refused.
     popular_held: u64,
-    /// Callers of what nobody else asks for turned away.
+    /// Other calls that were refused.
     others_held: u64,
-    /// Runs of the request that ends its upstreams.
+    /// Runs of the fatal request.
     fatal_runs: u64,
 }
 
@@ -74,7 +75,7 @@
     register: QuarantineRegister,
     upstreams: Vec<Upstream>,
     rng: Pcg64,
-    /// Whether what was answered of late is looked at.
+    /// Whether the record of recently answered requests is used.
     remembers: bool,
     crashes: u64,
     serial: u64,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// One step: answers, arrivals, and what ends an upstream.
+    /// Runs one step: answers, arrivals and crashes.
     fn step(&mut self, step: u64, cause: EndCause) {
         let now = START + STEP * u32::try_from(step).expect("a short run");
         for index in 0..UPSTREAMS {
@@ -145,7 +146,7 @@
         self.upstreams[index].running.push((target, step + RUN_STEPS));
     }
 
-    /// The request that ends its upstreams comes at one that is there, if any.
+    /// Sends the fatal request to an upstream that is up, if any.
     fn run_fatal(&mut self, now: MonotonicTime) {
         let there: Vec<_> =
             (0..UPSTREAMS).filter(|index| self.upstreams[*index].away == 0).collect();
@@ -178,7 +179,7 @@
     }
 }
 
-/// A minute of the load.
+/// Runs a minute of the load.
 fn run_load(cause: EndCause, remembers: bool) -> Tally {
     let mut load = Load::new(remembers);
     for step in 0..1_200 {
@@ -202,7 +203,7 @@
     assert_eq!(run_load(EndCause::Request, true).fatal_runs, 3);
 }
 
-/// The rule of three ends alone turns the popular read away as soon as three upstreams end together.
+/// The threshold of three crashes alone quarantines the popular read as soon as three upstreams crash together.
 #[test]
 fn without_what_was_answered_of_late_the_innocent_are_turned_away() {
     let tally = run_load(EndCause::Outside, false);
--- a/crates/coltsfootroute/tests/integration/quarantine/register.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/register.rs
@@ -1,4 +1,4 @@
-//! The register of one node.
+//! Tests of the register of one node.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 const FATAL: RequestFingerprint = RequestFingerprint(0xfa7a1);
 const OTHER: RequestFingerprint = RequestFingerprint(0x07e4);
-/// Far enough from the origin that ages can be taken off.
+/// Start of the tests; late enough that ages can be subtracted from it.
 const START: MonotonicTime = MonotonicTime::from_millis(200_000_000);
 
 fn crash(id: u64, suspects: &[RequestFingerprint]) -> QuarantineUpdate {
@@ -26,7 +26,7 @@
     QuarantineUpdate { answers, ..QuarantineUpdate::default() }
 }
 
-/// A register that holds `FATAL` back, and when it began to.
+/// Returns a register in which `FATAL` is quarantined, and the time since which it is.
 fn holding() -> (QuarantineRegister, MonotonicTime) {
     let mut register = QuarantineRegister::default();
     for id in 0..3 {
@@ -35,7 +35,7 @@
     (register, at(2))
 }
 
-/// So many seconds after the start.
+/// Returns the time `seconds` after the start.
 fn at(seconds: u64) -> MonotonicTime {
     START + Duration::from_secs(seconds)
 }
@@ -189,7 +189,7 @@
     assert_eq!(register.verdict(since, FATAL), QuarantineVerdict::Free);
 }
 
-/// Whoever crashes upstreams on purpose fills no more than the tables hold.
+/// A caller that crashes upstreams on purpose can't make the tables exceed their bounds.
 #[test]
 fn tables_are_bounded() {
     let mut register = QuarantineRegister::default();
--- a/crates/coltsfootroute/tests/integration/quarantine/spread.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/spread.rs
@@ -1,4 +1,4 @@
-//! Nodes that hear the same update in any order, any number of times, agree.
+//! Tests that nodes agree after receiving the same updates in any order, any number of times.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(100_000_000);
 
-/// One crash in which some of six requests were under way.
+/// Strategy for one crash with some of six requests in flight.
 fn report() -> impl Strategy<Value = QuarantineUpdate> {
     (0..8_u64, proptest::collection::vec(0..6_u128, 1..4), 0..5_u64).prop_map(
         |(crash, suspects, age)| QuarantineUpdate {
@@ -53,12 +53,12 @@
         }
         second.merge(NOW, first.all(NOW));
         prop_assert_eq!(first.digest(), second.digest());
-        // And a node that has heard all has nothing to pass on.
+        // A node that already knows everything has nothing to forward.
         prop_assert!(second.merge(NOW, first.all(NOW)).is_empty());
     }
 }
 
-/// What a node that has passed on its update still lacks shows by the digest.
+/// Nodes compare digests to detect that one lacks cases even after both have sent their updates.
 #[test]
 fn a_digest_tells_cases_apart_and_no_case_has_none() {
     let mut register = QuarantineRegister::default();
--- a/crates/coltsfootroute/tests/integration/quota.rs
+++ b/crates/coltsfootroute/tests/integration/quota.rs
@@ -1,4 +1,4 @@
-//! Rate limits of teams over many nodes.
+//! Tests of the rate limits of teams over many nodes.
 
 mod credit;
 mod ledger;
--- a/crates/coltsfootroute/tests/integration/quota/credit.rs
+++ b/crates/coltsfootroute/tests/integration/quota/credit.rs
@@ -1,4 +1,4 @@
-//! The credit of a team where its requests enter.
+//! Tests of the credit of a team at a node that admits its requests.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     CreditGrant { granted, wait: Duration::ZERO, share_milli: 10_000 }
 }
 
-/// Credit of a team that has sent `per_s` requests a second for three seconds, up to 3,000 ms.
+/// Returns the credit of a team that has sent `per_s` requests a second for three seconds, up to 3,000 ms.
 fn used(per_s: u64) -> TeamCredit {
     let mut credit = TeamCredit::new(at(0));
     for request in 0..3 * per_s {
@@ -96,7 +96,7 @@
     let mut credit = TeamCredit::new(at(0));
     credit.grant(at(0), grant(5));
 
-    // The five lapse at 600 ms, unused; ten a second are its own part.
+    // The five expire unused at 600 ms; the node's own share is ten a second.
     credit.grant_own_share(at(700));
     assert!((0..7).all(|_| credit.acquire(at(701))));
 
--- a/crates/coltsfootroute/tests/integration/quota/ledger.rs
+++ b/crates/coltsfootroute/tests/integration/quota/ledger.rs
@@ -1,4 +1,4 @@
-//! The credit that a node owns.
+//! Tests of the credit that a node owns.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -27,7 +27,7 @@
     ask_as(ledger, now, limit, wanted, true)
 }
 
-/// The same of a node that knows whether it has been the only owner of late.
+/// Requests credit from an owner; `is_sole` states whether no other node can have been the owner recently.
 fn ask_as(
     ledger: &mut CreditLedger,
     now: u64,
@@ -81,9 +81,9 @@
 
     let after = |ledger: &mut CreditLedger, now| ask_as(ledger, MINUTE + now, LIMIT, 80, false);
 
-    // Two seconds in which another may have given out this credit.
+    // For two seconds another owner may have granted this credit.
     assert_eq!(after(&mut ledger, 2_000).granted, 0);
-    // Asked seldom, it does not begin anew with each request.
+    // With rare requests the credit is not restarted at each of them.
     assert_eq!(after(&mut ledger, 3_200).granted, 50);
 }
 
--- a/crates/coltsfootroute/tests/integration/quota/owners.rs
+++ b/crates/coltsfootroute/tests/integration/quota/owners.rs
@@ -1,4 +1,4 @@
-//! Who owns a team's credit.
+//! Tests of the selection of the owner of a team's credit.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/coltsfootroute/tests/integration/quota/world.rs
+++ b/crates/coltsfootroute/tests/integration/quota/world.rs
@@ -1,4 +1,5 @@
-//! A team's requests at many nodes, whose requests to the owner take time, are lost, or go to another owner.
+//! Simulation of a team's requests at many nodes, whose credit requests to the owner are delayed, lost, or sent to
+//! different owners.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -14,20 +15,21 @@
 
 const NODES: usize = 20;
 const LIMIT: RateLimit = RateLimit { per_s: 150, burst: 150 };
-/// The world begins when its owners have settled.
+/// Start of the simulation in milliseconds; late enough that the owners have settled.
 const BEGIN: u64 = 60_000;
-/// Windows in which the limit holds, and what may pass beyond it: the users' own bounds.
+/// Window in which the limit applies, in milliseconds, with the factor and the number of requests by which it may be
+/// exceeded: the users' own bounds.
 const WINDOW: u64 = 5_000;
 const OVERAGE: f64 = 1.1;
 const SLACK: f64 = 20.0;
-/// A request without an answer is given up.
+/// Time after which a credit request without an answer is abandoned, in milliseconds.
 const ASK_TIMEOUT: u64 = 250;
 
-/// A request to an owner.
+/// A credit request to an owner.
 struct PendingRequest {
-    /// When the answer is there, or the request is given up.
+    /// Time at which the answer arrives or the request is abandoned, in milliseconds.
     answered: u64,
-    /// The answer; `None` if there is none.
+    /// The answer; `None` if the request or its answer is lost.
     grant: Option<CreditGrant>,
 }
 
@@ -38,16 +40,16 @@
     team: TeamName,
     ledgers: Vec<CreditLedger>,
     credits: Vec<TeamCredit>,
-    /// The owner, as each node sees it.
+    /// Index of the owner that each node knows.
     owners: Vec<usize>,
     dead: Vec<usize>,
-    /// When the owner last changed.
+    /// Time of the last change of the owner.
     changed: Option<MonotonicTime>,
-    /// Questions lost, in a thousand.
+    /// Number of credit requests lost in a thousand.
     loss: u32,
     requests: Vec<Option<PendingRequest>>,
     waiting: Vec<u32>,
-    /// When each request was taken in.
+    /// Time at which each request was admitted, in milliseconds.
     taken: Vec<u64>,
     refused: usize,
     asked: usize,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Lets the team send `per_s` requests a second for `millis`, at nodes drawn from `places`.
+    /// Lets the team send `per_s` requests a second for `millis`, to nodes drawn from `places`.
     fn run(&mut self, per_s: f64, millis: u64, places: std::ops::Range<usize>) {
         for _ in 0..millis {
             self.now += 1;
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Another owner from now on, for the nodes in `nodes`.
+    /// Changes the owner that the nodes in `nodes` know.
     fn change_owner(&mut self, owner: usize, nodes: std::ops::Range<usize>) {
         self.changed = Some(self.time());
         for node in nodes {
@@ -170,7 +172,7 @@
         }
     }
 
-    /// The most requests taken in within any window.
+    /// Returns the largest number of requests admitted within any window.
     fn worst_window(&self) -> usize {
         let mut worst = 0;
         let mut first = 0;
@@ -204,7 +206,8 @@
     assert_eq!(world.refused, 0);
 }
 
-/// Pattern: a team that sends over all nodes what its limit allows: an even split would refuse where more came by chance.
+/// Pattern: a team within its limit that sends to two nodes at a time: an even split of the rate would refuse requests
+/// there.
 #[test]
 fn demand_that_wanders_between_nodes_finds_its_credit_there() {
     let mut world = QuotaWorld::new(2);
@@ -226,13 +229,13 @@
         world.run(703.0, 10_000, 0..NODES);
 
         world.assert_bound();
-        // The rate over the ten seconds, and the burst, less what lapsed unused.
+        // The rate over ten seconds and the burst, less the credit that expired unused.
         let late = world.taken.iter().filter(|taken| **taken > BEGIN + 10_000).count();
         assert!(late >= 1_500, "{late} of 1,650");
     }
 }
 
-/// Pattern: the owner of a team that is far over its limit dies; nodes learn of it at different times.
+/// Pattern: the owner of a team that is far over its limit dies; nodes are notified at different times.
 #[test]
 fn the_death_of_an_owner_lets_nobody_over_the_limit() {
     for seed in 0..20 {
@@ -249,7 +252,7 @@
     }
 }
 
-/// Pattern: the owner dies while the team is within its limit: its nodes go on with their parts of the rate.
+/// Pattern: the owner dies while the team is within its limit: the nodes continue with their own shares of the rate.
 #[test]
 fn the_death_of_an_owner_costs_a_team_within_its_limit_little() {
     let mut world = QuotaWorld::new(3);
@@ -263,7 +266,7 @@
     assert!(world.taken.len() * 100 >= sent * 88, "{} of {sent}", world.taken.len());
 }
 
-/// Pattern: nodes disagree about the owner for seconds, as when a newcomer is known to some only.
+/// Pattern: nodes disagree about the owner for seconds, as when only some of them know a new node.
 #[test]
 fn two_owners_at_a_time_let_nobody_over_the_limit() {
     for seed in 0..20 {
@@ -278,7 +281,7 @@
     }
 }
 
-/// Pattern: a tenth of the requests is lost, under demand far over the limit.
+/// Pattern: a tenth of the credit requests is lost, under demand far over the limit.
 #[test]
 fn lost_questions_let_nobody_over_the_limit() {
     for seed in 0..20 {
@@ -290,7 +293,7 @@
     }
 }
 
-/// Pattern: an operator lowers the limit while the team sends far over it: one window later the new one holds.
+/// Pattern: an operator lowers the limit while the team sends far over it: one window later the new limit applies.
 #[test]
 fn a_limit_that_falls_holds_a_window_later() {
     let mut world = QuotaWorld::new(4);
@@ -315,7 +318,7 @@
     assert!(world.asked * 4 <= sent, "{} requests for {sent} requests", world.asked);
 }
 
-/// Pattern: a team far over its limit, whose nodes are all told that there is none for now.
+/// Pattern: a team far over its limit, whose nodes are all denied credit for now.
 #[test]
 fn who_has_no_credit_does_not_ask_for_each_request() {
     let mut world = QuotaWorld::new(7);
--- a/crates/coltsfootroute/tests/integration/team.rs
+++ b/crates/coltsfootroute/tests/integration/team.rs
@@ -61,8 +61,8 @@
     assert_eq!(ranks.importance(entry(&schema, "pay"), None), Importance::Normal);
 }
 
-/// Pattern: two teams send the same mix. Whatever the more important one sends goes before all of the other; within each
-/// the operations keep their order.
+/// Pattern: two teams send the same mix. Whatever the more important one sends goes before all of the other; within
+/// each the operations keep their order.
 #[test]
 fn the_importance_of_a_team_goes_before_that_of_the_operation() {
     let teams = [team("red", "k1", ", importance: high"), team("blue", "k2", ", importance: low")];
--- a/crates/coltsfootroute/tests/integration/util/fuzz_config.rs
+++ b/crates/coltsfootroute/tests/integration/util/fuzz_config.rs
@@ -1,9 +1,9 @@
-//! Cases and seeds of the fuzz tests.
+//! Number of cases and seeds of the fuzz tests.
 
 use proptest::{prelude::ProptestConfig, test_runner::RngSeed};
 
-/// `cases` from `seed`, the same in every run; `scripts/fuzz` asks for others through
-/// `COLTSFOOT_FUZZ_CASES` and `COLTSFOOT_FUZZ_SEED`.
+/// Returns a configuration with `cases` cases from `seed`, equal in every run. `scripts/fuzz` overrides
+/// both by `COLTSFOOT_FUZZ_CASES` and `COLTSFOOT_FUZZ_SEED`.
 pub fn fuzz_config(cases: u32, seed: u64) -> ProptestConfig {
     let asked_cases = number("COLTSFOOT_FUZZ_CASES");
     ProptestConfig {
@@ -14,7 +14,8 @@
     }
 }
 
-/// A value that is no number must not pass for a run over fresh seeds.
+/// Reads a number from the environment; `None` if the variable is not set. Panics on any other text, which would
+/// otherwise be mistaken for a run over new seeds.
 fn number(name: &str) -> Option<u64> {
     let text = std::env::var(name).ok()?;
     Some(text.parse().unwrap_or_else(|_| panic!("{name}={text}: expected a number")))
--- a/crates/coltsfootroute/tests/integration/util/once_world.rs
+++ b/crates/coltsfootroute/tests/integration/util/once_world.rs
@@ -1,4 +1,4 @@
-//! Several guards, a table that fails on command, and an oracle that counts runs.
+//! Simulation of several guards and a table with injected faults, with an oracle that counts runs.
 
 use std::time::Duration;
 
@@ -19,24 +19,24 @@
 
 pub const DEADLINE: Duration = Duration::from_millis(500);
 pub const RETENTION: Duration = Duration::from_secs(3_600);
-/// Bodies above this go to the object store.
+/// Largest body kept in the record, in bytes; larger ones go to the object store.
 pub const MAX_INLINE_BYTES: usize = 40;
 
-/// What becomes of one request to the store.
+/// How the store handles one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreBehavior {
     Up,
-    /// It takes effect; its answer is lost.
+    /// The request takes effect; its answer is lost.
     AckLost,
-    /// It never arrives and nobody learns so.
+    /// The request is lost without an error.
     Lost,
-    /// No answer; it takes effect at a later `apply_late_writes`.
+    /// No answer; the request takes effect at a later `apply_late_writes`.
     Late,
-    /// Refused.
+    /// The store refuses the request.
     Down,
 }
 
-/// A request to the store on its way.
+/// A request to the store that has not been delivered yet.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
     pub guard: usize,
@@ -46,7 +46,7 @@
     request: TaskRequest,
 }
 
-/// One call to a guard and what came of it.
+/// One call to a guard and its result.
 #[derive(Clone, Debug)]
 pub struct CallAttempt {
     pub guard: usize,
@@ -58,7 +58,7 @@
     pub was_dispatched: bool,
 }
 
-/// The answer of a key's run, and the request that it answered.
+/// Answer of a key's run, and the digest of the request that it answered.
 struct FirstAnswer {
     request: BodyDigest,
     answer: Vec<u8>,
@@ -143,7 +143,8 @@
         claim_id
     }
 
-    /// Lets `behavior` reply_to the pending at `index` and hands the reply to its guard, if that still lives.
+    /// Lets the store handle the pending request at `index` with `behavior`, and passes the reply to its guard
+    /// unless that has been restarted since.
     pub fn deliver(&mut self, index: usize, behavior: StoreBehavior) {
         let pending = self.pending_requests.remove(index);
         let reply = self.reply_to(&pending.request, behavior);
@@ -193,7 +194,7 @@
         }
     }
 
-    /// The writes whose answers nobody waits for any more take effect now.
+    /// Applies the delayed writes, whose answers no guard waits for any more.
     pub fn apply_late_writes(&mut self) {
         for request in std::mem::take(&mut self.late) {
             self.store(&request);
@@ -232,7 +233,7 @@
         });
     }
 
-    /// Asks the holder, as a guard does that finds a claim in its way.
+    /// Queries the holder, as a guard does when another attempt has claimed its key.
     fn on_busy(&mut self, claim_id: ClaimId, claim: &ClaimDetails) {
         let holder = (0..self.guards.len()).find(|index| node(*index) == claim.holder.node);
         let holder = holder.expect("a guard of this world");
@@ -291,7 +292,7 @@
         }
     }
 
-    /// The oracle: at most one run a key, none after `not-run` was reported or the caller gave up.
+    /// The oracle: each key runs at most once, and never after `not-run` was reported or the deadline of its caller.
     fn count_run(&mut self, claim_id: ClaimId) {
         let attempt = &mut self.attempts[&claim_id];
         attempt.was_dispatched = true;
@@ -321,7 +322,7 @@
         self.record_outcome(claim_id, CallOutcome::Unknown, " cut off");
     }
 
-    /// The caller goes away, or the guard gives the request up, before its dispatch.
+    /// Cancels a call before its dispatch, because the caller has disconnected or the guard refuses it.
     pub fn cancel(&mut self, claim_id: ClaimId) {
         let attempt = &self.attempts[&claim_id];
         if attempt.reported.is_some() || attempt.was_dispatched {
@@ -335,14 +336,14 @@
         self.record_outcome(claim_id, CallOutcome::NotRun, " cancelled");
     }
 
-    /// Puts the guard's tasks that are due on their way.
+    /// Sends the guard's tasks that are due.
     pub fn send_tasks(&mut self, guard: usize) {
         while let Some(task) = self.guards[guard].next_task(self.now) {
             self.send(task.claim_id, true, task.request);
         }
     }
 
-    /// The guard's process is killed and starts anew; what it sent may still arrive.
+    /// Kills and restarts the guard's process; requests that it has sent may still arrive.
     pub fn restart(&mut self, guard: usize) {
         self.incarnations[guard] = self.incarnations[guard].next();
         self.guards[guard] = self.new_guard(guard);
@@ -358,7 +359,7 @@
             self.attempts.iter().filter(|(_, call)| call.guard == guard && call.reported.is_none());
         let unreported: Vec<ClaimId> = unreported.map(|(claim_id, _)| *claim_id).collect();
         for claim_id in unreported {
-            // The ingress node sees the connection break and can't know more.
+            // The ingress node sees only that the connection has failed.
             self.record_outcome(claim_id, CallOutcome::Unknown, " guard lost");
         }
     }
@@ -368,7 +369,7 @@
         self.wall = self.wall.after(duration);
     }
 
-    /// One undisturbed pass of the sweeper.
+    /// Runs one pass of the sweeper without faults.
     pub fn sweep(&mut self) {
         let mut sweeper = RecordSweeper::new(self.wall, 2);
         let mut request = sweeper.start();
@@ -384,7 +385,8 @@
         }
     }
 
-    /// Everything settles with the store up: late writes land, tickets and runs end, tasks are done.
+    /// Runs until everything has settled, with the store up: applies delayed writes, ends tickets and runs, and
+    /// completes tasks.
     pub fn settle(&mut self) {
         self.apply_late_writes();
         loop {
@@ -415,7 +417,7 @@
         self.run_counts.get(&once_key(key)).copied().unwrap_or(0)
     }
 
-    /// Whether `holder` is a life that goes on.
+    /// Returns whether `holder` is a running incarnation.
     pub fn is_alive(&self, holder: ClaimHolder) -> bool {
         (0..self.guards.len()).any(|index| {
             node(index) == holder.node && self.incarnations[index] == holder.incarnation
