--- a/crates/coltsfootroute/src/once/claim_run.rs
+++ b/crates/coltsfootroute/src/once/claim_run.rs
@@ -6,7 +6,7 @@
 /// [`OnceGuard::finish`](super::OnceGuard::finish) or
 /// [`OnceGuard::interrupt`](super::OnceGuard::interrupt).
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a run that ends unnoticed leaves its key busy"]
+#[must_use = "a run must be finished, interrupted or withdrawn, or its key stays busy"]
 pub struct ClaimRun {
     pub(super) claim_id: ClaimId,
 }
--- a/crates/coltsfootroute/tests/integration/freshness.rs
+++ b/crates/coltsfootroute/tests/integration/freshness.rs
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn an_answer_counts_from_its_question_however_long_it_was_held_up() {
+fn an_answer_counts_from_its_request_however_long_it_was_delayed() {
     let freshness = proved();
 
     assert_eq!(freshness.age(at(4_500)), Some(millis(3_500)));
 }
 
 #[test]
-fn the_proof_of_another_node_counts_from_the_time_in_it_however_late_it_comes() {
+fn the_proof_of_another_node_counts_from_its_store_time() {
     let mut freshness = proved();
 
     freshness.record_proof(proof(3, 52_000));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_proof_from_the_time_to_come_proves_nothing() {
+fn a_proof_from_the_future_proves_nothing() {
     let mut freshness = proved();
 
     freshness.record_proof(proof(3, 90_000));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn others_are_told_only_what_holds_for_the_revision_that_goes_with_it() {
+fn a_proof_is_shared_only_with_revisions_it_applies_to() {
     let freshness = proved();
 
     assert_eq!(freshness.proof_time_for(Revision(3)), Some(StoreTime(50_000)));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_store_without_a_clock_proves_something_to_who_asked() {
+fn a_store_without_a_clock_proves_only_to_the_requester() {
     let mut freshness = ConfigFreshness::default();
     freshness.set_revision(Revision(3));
 
@@ -124,7 +124,7 @@
 /// Pattern: nodes with different clocks query the store at random times and exchange proofs, and every message may be
 /// delayed by seconds. At the time that a node computes for its proof, its revision must have been the newest.
 #[test]
-fn no_delay_makes_a_proof_look_younger_than_it_is() {
+fn no_delay_makes_a_proof_appear_newer() {
     for seed in 0..200 {
         let mut world = ProofWorld::new(seed);
         for _ in 0..400 {
--- a/crates/coltsfootroute/tests/integration/freshness/head_interval.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/head_interval.rs
@@ -12,7 +12,7 @@
 #[rstest]
 #[case::small(12)]
 #[case::large(200)]
-fn some_node_reads_every_other_second_whatever_their_number(#[case] nodes: u16) {
+fn some_node_reads_every_two_seconds_regardless_of_their_number(#[case] nodes: u16) {
     let mut rng = Pcg64::seed_from_u64(3);
 
     let pauses = (0..1_000).map(|_| draw_head_interval(usize::from(nodes), &mut rng));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_reads_of_a_fleet_of_thousands_stay_far_below_the_rate_of_the_store() {
+fn reads_of_thousands_of_nodes_stay_far_below_the_store_rate() {
     let mut rng = Pcg64::seed_from_u64(3);
 
     let shortest = (0..1_000).map(|_| draw_head_interval(18_000, &mut rng)).min().expect("some");
--- a/crates/coltsfootroute/tests/integration/freshness/silence.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/silence.rs
@@ -21,7 +21,7 @@
 #[case::small(5)]
 #[case::medium(14)]
 #[case::large(40)]
-fn a_change_is_in_force_in_time_though_all_connections_have_gone_silent(#[case] nodes: u8) {
+fn a_change_is_in_force_in_time_after_silent_connection_failures(#[case] nodes: u8) {
     for seed in 0..SEEDS {
         let mut world = ConfigWorld::new(seed, nodes);
         for id in world.ids() {
@@ -41,7 +41,7 @@
 #[case::small(5)]
 #[case::medium(14)]
 #[case::large(40)]
-fn a_change_is_in_force_in_time_though_the_store_has_swallowed_all_questions(#[case] nodes: u8) {
+fn a_change_is_in_force_in_time_after_the_store_drops_all_polls(#[case] nodes: u8) {
     for seed in 0..SEEDS {
         let mut world = ConfigWorld::new(seed, nodes);
         world.silence_store(seconds(1));
@@ -56,7 +56,7 @@
 
 /// Guards against a node that pulls from one peer after the other while the peers that announced the change are dead.
 #[test]
-fn a_change_is_in_force_in_time_though_those_that_told_of_it_are_dead() {
+fn a_change_is_in_force_in_time_though_its_announcers_are_dead() {
     for seed in 0..SEEDS {
         let mut world = ConfigWorld::new(seed, 8);
         for id in world.ids() {
@@ -78,7 +78,7 @@
 /// Guards against a node that keeps waiting on a poll that has missed a change: once it is partitioned from the others,
 /// it would receive no changes at all.
 #[test]
-fn a_node_asks_anew_where_others_have_heard_more() {
+fn a_node_restarts_a_poll_that_has_missed_a_change() {
     for seed in 0..SEEDS {
         let mut world = ConfigWorld::new(seed, 40);
         let node = world.ids()[0];
@@ -96,13 +96,13 @@
 
 /// Pattern: faults drawn at random, two or three kinds at a time.
 #[test]
-fn changes_are_in_force_in_time_under_any_harm() {
+fn changes_are_in_force_in_time_under_random_faults() {
     for seed in 0..SEEDS {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut world = ConfigWorld::new(seed, rng.random_range(5..=14));
         let mut dead = Vec::new();
         for _ in 0..12 {
-            harm(&mut world, &mut rng, &mut dead);
+            inject_fault(&mut world, &mut rng, &mut dead);
             world.run(Duration::from_millis(rng.random_range(50..900)));
         }
         world.run(seconds(12));
@@ -111,7 +111,7 @@
     }
 }
 
-fn harm(world: &mut ConfigWorld, rng: &mut Pcg64, dead: &mut Vec<NodeId>) {
+fn inject_fault(world: &mut ConfigWorld, rng: &mut Pcg64, dead: &mut Vec<NodeId>) {
     match rng.random_range(0..6) {
         0 => world.ids().into_iter().for_each(|id| world.silence_connections(id)),
         1 => {
@@ -135,7 +135,7 @@
 #[case::small(5)]
 #[case::medium(14)]
 #[case::large(60)]
-fn questions_at_rest_do_not_grow_with_the_fleet(#[case] nodes: u8) {
+fn idle_polls_do_not_grow_with_the_number_of_nodes(#[case] nodes: u8) {
     let rest = seconds(60);
     let mut world = ConfigWorld::new(7, nodes);
     world.run(seconds(10));
--- a/crates/coltsfootroute/tests/integration/once/decisions.rs
+++ b/crates/coltsfootroute/tests/integration/once/decisions.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn old_ticket_lapses_before_its_deadline() {
+fn old_ticket_expires_before_its_deadline() {
     let max_ticket_age = Duration::from_millis(10);
     let settings = OnceSettings { max_ticket_age, ..OnceSettings::default() };
     let mut guard = OnceGuard::new(holder(), settings);
@@ -92,7 +92,7 @@
 #[case(HolderView::Answered(HolderAnswer::NotMine), BusyVerdict::Retry)]
 #[case(HolderView::Ended, BusyVerdict::Refuse(CallOutcome::Unknown))]
 #[case(HolderView::Unreachable, BusyVerdict::Refuse(CallOutcome::Unknown))]
-fn only_the_holder_says_that_a_claim_never_ran(
+fn only_the_holder_reports_that_a_claim_never_ran(
     #[case] view: HolderView,
     #[case] verdict: BusyVerdict,
 ) {
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn records_survive_their_text() {
+fn records_parse_back_from_their_values() {
     let claim = ClaimDetails {
         claim_id: ClaimId(7),
         holder: holder(),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn row_key_holds_no_text_of_the_client() {
+fn row_key_contains_no_text_of_the_client() {
     let row_key = once_key("../x/%00").row_key();
 
     let (prefix, digest) = row_key.as_str().rsplit_once('/').expect("segments");
--- a/crates/coltsfootroute/tests/integration/quarantine/fingerprint.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/fingerprint.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_part_tells_requests_apart() {
+fn each_part_changes_the_fingerprint() {
     let own = RequestFingerprint::of(&parts());
     let others = [
         FingerprintParts { method: b"POST", ..parts() },
@@ -36,6 +36,6 @@
 #[case(RequestFingerprint(0))]
 #[case(RequestFingerprint(u128::MAX))]
 #[case(RequestFingerprint::of(&parts()))]
-fn its_text_reads_back(#[case] fingerprint: RequestFingerprint) {
+fn fingerprint_parses_back_from_its_text(#[case] fingerprint: RequestFingerprint) {
     assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
 }
--- a/crates/coltsfootroute/tests/integration/quarantine/innocent_reads.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/innocent_reads.rs
@@ -25,35 +25,35 @@
 /// Duration of one run, in steps.
 const RUN_STEPS: u64 = 3;
 /// Time for which a crashed upstream is down, in steps.
-const AWAY_STEPS: u64 = 60;
+const DOWN_STEPS: u64 = 60;
 /// Other calls that arrive in each step at each upstream; each is a request that no other caller sends.
-const OTHERS: u64 = 5;
+const OTHER_CALLS: u64 = 5;
 
 /// Cause of the crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum EndCause {
+enum CrashCause {
     /// An external cause that affects all upstreams at the same time.
-    Outside,
+    External,
     /// A fatal request that is sent again as soon as upstreams are back.
-    Request,
+    FatalRequest,
 }
 
 struct Upstream {
     /// Steps until the upstream is back.
-    away: u64,
+    down_steps: u64,
     /// Requests in flight, with the step in which they are answered.
     running: Vec<(String, u64)>,
     answered: AnsweredRequests,
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct CallCounts {
     /// Number of calls of the popular read.
     popular: u64,
     /// Calls of the popular read that were refused.
-    popular_held: u64,
+    popular_refused: u64,
     /// Other calls that were refused.
-    others_held: u64,
+    others_refused: u64,
     /// Runs of the fatal request.
     fatal_runs: u64,
 }
@@ -76,16 +76,16 @@
     upstreams: Vec<Upstream>,
     rng: Pcg64,
     /// Whether the record of recently answered requests is used.
-    remembers: bool,
+    uses_answered: bool,
     crashes: u64,
     serial: u64,
-    tally: Tally,
+    counts: CallCounts,
 }
 
 impl Load {
-    fn new(remembers: bool) -> Self {
+    fn new(uses_answered: bool) -> Self {
         let upstream = |index| Upstream {
-            away: 0,
+            down_steps: 0,
             running: Vec::new(),
             answered: AnsweredRequests::new(index, START),
         };
@@ -93,33 +93,33 @@
             register: QuarantineRegister::default(),
             upstreams: (0..UPSTREAMS as u64).map(upstream).collect(),
             rng: Pcg64::seed_from_u64(11),
-            remembers,
+            uses_answered,
             crashes: 0,
             serial: 0,
-            tally: Tally::default(),
+            counts: CallCounts::default(),
         }
     }
 
     /// Runs one step: answers, arrivals and crashes.
-    fn step(&mut self, step: u64, cause: EndCause) {
+    fn step(&mut self, step: u64, cause: CrashCause) {
         let now = START + STEP * u32::try_from(step).expect("a short run");
         for index in 0..UPSTREAMS {
-            if self.upstreams[index].away > 0 {
-                self.upstreams[index].away -= 1;
+            if self.upstreams[index].down_steps > 0 {
+                self.upstreams[index].down_steps -= 1;
                 continue;
             }
             self.answer(now, step, index);
             self.arrive(now, step, index, POPULAR.to_owned());
-            for _ in 0..OTHERS {
+            for _ in 0..OTHER_CALLS {
                 self.serial += 1;
                 self.arrive(now, step, index, format!("/one/{}", self.serial));
             }
         }
         match cause {
-            EndCause::Outside if step % 200 == 100 => {
-                (0..UPSTREAMS).for_each(|index| self.end(now, index));
+            CrashCause::External if step % 200 == 100 => {
+                (0..UPSTREAMS).for_each(|index| self.crash(now, index));
             }
-            EndCause::Request if step >= 100 => self.run_fatal(now),
+            CrashCause::FatalRequest if step >= 100 => self.run_fatal(now),
             _ => {}
         }
     }
@@ -128,7 +128,7 @@
         let upstream = &mut self.upstreams[index];
         let done = upstream.running.extract_if(.., |(_, until)| *until <= step);
         for (target, _) in done.collect::<Vec<_>>() {
-            if self.remembers {
+            if self.uses_answered {
                 upstream.answered.record(now, &parts(&target));
             }
             self.register.record_answer(now, RequestFingerprint::of(&parts(&target)));
@@ -137,10 +137,10 @@
 
     fn arrive(&mut self, now: MonotonicTime, step: u64, index: usize, target: String) {
         let is_popular = target == POPULAR;
-        self.tally.popular += u64::from(is_popular);
-        if self.is_held(now, &target) {
-            self.tally.popular_held += u64::from(is_popular);
-            self.tally.others_held += u64::from(!is_popular);
+        self.counts.popular += u64::from(is_popular);
+        if self.is_quarantined(now, &target) {
+            self.counts.popular_refused += u64::from(is_popular);
+            self.counts.others_refused += u64::from(!is_popular);
             return;
         }
         self.upstreams[index].running.push((target, step + RUN_STEPS));
@@ -149,19 +149,19 @@
     /// Sends the fatal request to an upstream that is up, if any.
     fn run_fatal(&mut self, now: MonotonicTime) {
         let there: Vec<_> =
-            (0..UPSTREAMS).filter(|index| self.upstreams[*index].away == 0).collect();
-        if there.is_empty() || self.is_held(now, FATAL) {
+            (0..UPSTREAMS).filter(|index| self.upstreams[*index].down_steps == 0).collect();
+        if there.is_empty() || self.is_quarantined(now, FATAL) {
             return;
         }
         let index = there[self.rng.random_range(0..there.len())];
-        self.tally.fatal_runs += 1;
+        self.counts.fatal_runs += 1;
         self.upstreams[index].running.push((FATAL.to_owned(), u64::MAX));
-        self.end(now, index);
+        self.crash(now, index);
     }
 
-    fn end(&mut self, now: MonotonicTime, index: usize) {
+    fn crash(&mut self, now: MonotonicTime, index: usize) {
         let upstream = &mut self.upstreams[index];
-        upstream.away = AWAY_STEPS;
+        upstream.down_steps = DOWN_STEPS;
         let mut suspects = Vec::new();
         for (target, _) in std::mem::take(&mut upstream.running) {
             if !upstream.answered.contains(now, &parts(&target)) {
@@ -173,40 +173,40 @@
         self.register.merge(now, QuarantineUpdate { crashes: vec![report], ..Default::default() });
     }
 
-    fn is_held(&self, now: MonotonicTime, target: &str) -> bool {
+    fn is_quarantined(&self, now: MonotonicTime, target: &str) -> bool {
         let verdict = self.register.verdict(now, RequestFingerprint::of(&parts(target)));
         verdict != QuarantineVerdict::Free
     }
 }
 
 /// Runs a minute of the load.
-fn run_load(cause: EndCause, remembers: bool) -> Tally {
-    let mut load = Load::new(remembers);
+fn run_load(cause: CrashCause, uses_answered: bool) -> CallCounts {
+    let mut load = Load::new(uses_answered);
     for step in 0..1_200 {
         load.step(step, cause);
     }
-    load.tally
+    load.counts
 }
 
 #[rstest]
-#[case(EndCause::Outside)]
-#[case(EndCause::Request)]
-fn no_caller_of_a_popular_read_is_turned_away(#[case] cause: EndCause) {
-    let tally = run_load(cause, true);
+#[case(CrashCause::External)]
+#[case(CrashCause::FatalRequest)]
+fn no_call_of_a_popular_read_is_refused(#[case] cause: CrashCause) {
+    let counts = run_load(cause, true);
 
-    assert!(tally.popular > 1_000, "{tally:?}");
-    assert_eq!((tally.popular_held, tally.others_held), (0, 0), "{tally:?}");
+    assert!(counts.popular > 1_000, "{counts:?}");
+    assert_eq!((counts.popular_refused, counts.others_refused), (0, 0), "{counts:?}");
 }
 
 #[test]
-fn what_ends_its_upstreams_is_held_back_after_three() {
-    assert_eq!(run_load(EndCause::Request, true).fatal_runs, 3);
+fn a_fatal_request_is_quarantined_after_three_crashes() {
+    assert_eq!(run_load(CrashCause::FatalRequest, true).fatal_runs, 3);
 }
 
 /// The threshold of three crashes alone quarantines the popular read as soon as three upstreams crash together.
 #[test]
-fn without_what_was_answered_of_late_the_innocent_are_turned_away() {
-    let tally = run_load(EndCause::Outside, false);
+fn without_answered_requests_a_popular_read_is_quarantined() {
+    let counts = run_load(CrashCause::External, false);
 
-    assert!(tally.popular_held > tally.popular / 2, "{tally:?}");
+    assert!(counts.popular_refused > counts.popular / 2, "{counts:?}");
 }
--- a/crates/coltsfootroute/tests/integration/quarantine/register.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/register.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns a register in which `FATAL` is quarantined, and the time since which it is.
-fn holding() -> (QuarantineRegister, MonotonicTime) {
+fn quarantined_register() -> (QuarantineRegister, MonotonicTime) {
     let mut register = QuarantineRegister::default();
     for id in 0..3 {
         register.merge(at(id), crash(id, &[FATAL]));
@@ -40,12 +40,12 @@
     START + Duration::from_secs(seconds)
 }
 
-fn is_held(register: &QuarantineRegister, now: MonotonicTime) -> bool {
+fn is_quarantined(register: &QuarantineRegister, now: MonotonicTime) -> bool {
     matches!(register.verdict(now, FATAL), QuarantineVerdict::Held(_))
 }
 
 #[test]
-fn what_is_under_way_at_three_ends_is_held_back() {
+fn a_request_in_flight_at_three_crashes_is_quarantined() {
     let mut register = QuarantineRegister::default();
 
     register.merge(at(0), crash(1, &[FATAL, OTHER]));
@@ -53,14 +53,14 @@
     assert_eq!(register.verdict(at(1), FATAL), QuarantineVerdict::Free);
     register.merge(at(2), crash(3, &[FATAL]));
 
-    assert!(is_held(&register, at(2)));
+    assert!(is_quarantined(&register, at(2)));
     assert_eq!(register.verdict(at(2), OTHER), QuarantineVerdict::Free);
     let changes = register.drain_changes();
     assert_eq!((changes.len(), changes[0].fingerprint, changes[0].crashes), (1, FATAL, 3));
 }
 
 #[test]
-fn one_end_told_often_counts_once() {
+fn a_crash_reported_repeatedly_counts_once() {
     let mut register = QuarantineRegister::default();
     assert!(!register.merge(at(0), crash(1, &[FATAL])).is_empty());
     for second in 1..9 {
@@ -70,17 +70,17 @@
 }
 
 #[test]
-fn suspects_of_one_end_may_be_told_in_parts() {
+fn suspects_of_one_crash_may_be_reported_in_parts() {
     let mut register = QuarantineRegister::default();
     for id in 0..3 {
         register.merge(at(id), crash(id, &[OTHER]));
         assert!(!register.merge(at(id), crash(id, &[FATAL])).is_empty());
     }
-    assert!(is_held(&register, at(3)));
+    assert!(is_quarantined(&register, at(3)));
 }
 
 #[test]
-fn an_answer_clears_of_the_ends_before_it_and_just_after() {
+fn an_answer_clears_of_crashes_before_it_and_shortly_after() {
     let mut register = QuarantineRegister::default();
     register.merge(at(0), crash(1, &[FATAL]));
     register.merge(at(1), crash(2, &[FATAL]));
@@ -92,19 +92,19 @@
 }
 
 #[test]
-fn what_turns_bad_is_held_back_later() {
+fn a_request_that_becomes_fatal_is_quarantined_later() {
     let mut register = QuarantineRegister::default();
     register.merge(at(0), crash(1, &[FATAL]));
     register.merge(at(1), answer(FATAL));
     for id in 40..43 {
         register.merge(at(id), crash(id, &[FATAL]));
     }
-    assert!(is_held(&register, at(43)));
+    assert!(is_quarantined(&register, at(43)));
 }
 
 #[test]
-fn an_answer_lets_go_what_is_held_back() {
-    let (mut register, since) = holding();
+fn an_answer_releases_a_quarantined_request() {
+    let (mut register, since) = quarantined_register();
 
     register.merge(since, answer(FATAL));
 
@@ -113,17 +113,17 @@
 }
 
 #[test]
-fn an_answer_from_long_before_lets_nothing_go() {
-    let (mut register, _) = holding();
+fn an_old_answer_releases_no_request() {
+    let (mut register, _) = quarantined_register();
     let answers = vec![AnswerNote { fingerprint: FATAL, age: Duration::from_secs(60) }];
 
     register.merge(at(3), QuarantineUpdate { answers, ..QuarantineUpdate::default() });
 
-    assert!(is_held(&register, at(3)));
+    assert!(is_quarantined(&register, at(3)));
 }
 
 #[test]
-fn ends_are_forgotten_in_time() {
+fn old_crashes_are_dropped() {
     let mut register = QuarantineRegister::default();
     register.merge(at(0), crash(1, &[FATAL]));
     register.merge(at(1), crash(2, &[FATAL]));
@@ -132,34 +132,34 @@
 }
 
 #[test]
-fn a_case_lapses_after_a_day() {
-    let (mut register, since) = holding();
+fn a_case_expires_after_a_day() {
+    let (mut register, since) = quarantined_register();
     register.record_trial(since, FATAL, TrialClaim::Used);
     let day = Duration::from_secs(24 * 3_600);
 
-    assert!(is_held(&register, since + day - Duration::from_secs(1)));
+    assert!(is_quarantined(&register, since + day - Duration::from_secs(1)));
     assert_eq!(register.verdict(since + day, FATAL), QuarantineVerdict::Free);
 }
 
 #[test]
 fn one_trial_is_due_after_a_minute() {
-    let (mut register, since) = holding();
+    let (mut register, since) = quarantined_register();
     let minute = since + Duration::from_secs(60);
 
     assert_eq!(register.verdict(since, FATAL), QuarantineVerdict::Held(Duration::from_secs(60)));
     assert_eq!(register.verdict(minute, FATAL), QuarantineVerdict::TrialDue);
     register.record_trial(minute, FATAL, TrialClaim::Unavailable);
-    assert!(is_held(&register, minute));
+    assert!(is_quarantined(&register, minute));
     let later = minute + Duration::from_secs(10);
     assert_eq!(register.verdict(later, FATAL), QuarantineVerdict::TrialDue);
     register.record_trial(later, FATAL, TrialClaim::Used);
 
-    assert!(is_held(&register, later + Duration::from_secs(3_600)));
+    assert!(is_quarantined(&register, later + Duration::from_secs(3_600)));
 }
 
 #[test]
-fn an_operator_lets_go_and_three_more_ends_hold_back_again() {
-    let (mut register, since) = holding();
+fn after_a_release_three_more_crashes_quarantine_again() {
+    let (mut register, since) = quarantined_register();
 
     assert!(register.release(since, FATAL));
     assert!(!register.release(since, FATAL));
@@ -169,13 +169,13 @@
     assert_eq!(register.verdict(at(5), FATAL), QuarantineVerdict::Free);
     register.merge(at(6), crash(12, &[FATAL]));
 
-    assert!(is_held(&register, at(6)));
+    assert!(is_quarantined(&register, at(6)));
     assert_eq!(register.term(FATAL), CaseTerm(3));
 }
 
 #[test]
-fn of_two_terms_the_higher_holds() {
-    let (mut register, since) = holding();
+fn of_two_terms_the_higher_applies() {
+    let (mut register, since) = quarantined_register();
     let told = |term| {
         let note =
             CaseNote { fingerprint: FATAL, term: CaseTerm(term), age: Duration::from_secs(1) };
--- a/crates/coltsfootroute/tests/integration/quarantine/spread.rs
+++ b/crates/coltsfootroute/tests/integration/quarantine/spread.rs
@@ -28,7 +28,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
     #[test]
-    fn the_order_of_news_does_not_matter(
+    fn the_order_of_updates_does_not_matter(
         update in proptest::collection::vec(report(), 1..30),
         shuffled in any::<proptest::sample::Index>(),
     ) {
@@ -44,7 +44,7 @@
     }
 
     #[test]
-    fn all_that_a_node_knows_makes_another_agree(
+    fn a_full_update_makes_another_node_agree(
         update in proptest::collection::vec(report(), 1..30),
     ) {
         let (mut first, mut second) = (QuarantineRegister::default(), QuarantineRegister::default());
@@ -60,7 +60,7 @@
 
 /// Nodes compare digests to detect that one lacks cases even after both have sent their updates.
 #[test]
-fn a_digest_tells_cases_apart_and_no_case_has_none() {
+fn digests_distinguish_cases_and_are_zero_without_any() {
     let mut register = QuarantineRegister::default();
     assert_eq!(register.digest(), 0);
     let fingerprint = RequestFingerprint(7);
--- a/crates/coltsfootroute/tests/integration/quota/credit.rs
+++ b/crates/coltsfootroute/tests/integration/quota/credit.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn credit_that_was_not_used_lapses() {
+fn unused_credit_expires() {
     let mut credit = TeamCredit::new(at(0));
     credit.grant(at(0), grant(5));
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn credit_of_a_request_that_did_not_run_pays_for_another_unless_it_has_lapsed() {
+fn refunded_credit_pays_for_another_request_unless_it_has_expired() {
     let mut credit = TeamCredit::new(at(0));
     credit.grant(at(0), grant(1));
     assert!(credit.acquire(at(1)));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_team_that_sends_little_asks_for_each_request_as_it_comes() {
+fn a_team_with_low_demand_requests_credit_for_each_request() {
     let mut credit = used(2);
 
     assert_eq!(credit.wanted(at(3_000), 0), 0);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_team_that_sends_much_has_credit_before_its_requests_come() {
+fn a_team_with_high_demand_prefetches_credit() {
     let mut credit = used(100);
 
     let wanted = credit.wanted(at(3_000), 0);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn while_no_owner_answers_a_node_goes_on_with_its_part_and_then_stops() {
+fn without_an_owner_a_node_uses_its_own_share_for_a_limited_time() {
     let mut credit = TeamCredit::new(at(0));
     credit.grant(at(0), grant(0));
 
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_a_node_gave_itself_and_used_is_told_also_after_its_earlier_credit_has_lapsed() {
+fn used_own_share_is_reported_after_earlier_credit_has_expired() {
     let mut credit = TeamCredit::new(at(0));
     credit.grant(at(0), grant(5));
 
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn who_was_told_that_there_is_none_knows_until_when() {
+fn a_denied_node_knows_when_credit_is_available() {
     let mut credit = TeamCredit::new(at(0));
     let wait = Duration::from_millis(40);
     credit.grant(at(100), CreditGrant { granted: 0, wait, share_milli: 0 });
--- a/crates/coltsfootroute/tests/integration/quota/ledger.rs
+++ b/crates/coltsfootroute/tests/integration/quota/ledger.rs
@@ -43,7 +43,7 @@
 const MINUTE: u64 = 60_000;
 
 #[test]
-fn the_burst_is_there_at_once_and_the_rate_as_time_passes() {
+fn the_burst_is_available_immediately_and_the_rate_over_time() {
     let mut ledger = CreditLedger::new();
 
     assert_eq!(ask(&mut ledger, MINUTE, LIMIT, 80).granted, 50);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn who_gets_nothing_hears_when_there_is_credit() {
+fn a_denial_states_when_credit_is_available() {
     let mut ledger = CreditLedger::new();
     ask(&mut ledger, MINUTE, LIMIT, 50);
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_new_owner_gives_out_half_of_the_rate_and_no_burst_until_it_has_settled() {
+fn a_new_owner_grants_half_of_the_rate_and_no_burst_until_it_has_settled() {
     let mut ledger = CreditLedger::new();
     let mut ask_new = |now, wanted| ask_as(&mut ledger, MINUTE + now, LIMIT, wanted, false).granted;
 
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_owner_that_another_may_have_stood_in_for_begins_anew_once() {
+fn an_owner_that_may_have_been_replaced_restarts_once() {
     let mut ledger = CreditLedger::new();
     ask(&mut ledger, MINUTE, LIMIT, 50);
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_owner_that_is_asked_all_the_while_goes_on_as_before() {
+fn an_owner_with_continuous_requests_does_not_restart() {
     let mut ledger = CreditLedger::new();
     ask(&mut ledger, MINUTE, LIMIT, 50);
 
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn what_a_node_has_taken_in_unasked_is_paid_for() {
+fn requests_admitted_on_the_own_share_are_charged() {
     let mut ledger = CreditLedger::new();
     let team = &TeamName::new("red");
     ask(&mut ledger, MINUTE, LIMIT, 30);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_lower_limit_holds_at_once_and_no_saved_credit_outlasts_it() {
+fn a_lower_limit_applies_immediately_to_saved_credit() {
     let mut ledger = CreditLedger::new();
     let lower = RateLimit { per_s: 10, burst: 5 };
     ask(&mut ledger, MINUTE, LIMIT, 1);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_parts_of_all_that_ask_add_up_to_the_rate() {
+fn the_shares_of_all_requesters_add_up_to_the_rate() {
     let mut ledger = CreditLedger::new();
     for index in 1..=4 {
         let team = &TeamName::new("red");
--- a/crates/coltsfootroute/tests/integration/quota/owners.rs
+++ b/crates/coltsfootroute/tests/integration/quota/owners.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn nodes_that_know_the_same_members_agree_in_whatever_order_they_know_them() {
+fn the_owner_does_not_depend_on_the_order_of_members() {
     let nodes: Vec<_> = (0..25).map(node).collect();
     let reversed: Vec<_> = nodes.iter().rev().copied().collect();
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_node_that_goes_moves_only_the_teams_that_it_owned() {
+fn a_node_that_leaves_moves_only_the_teams_that_it_owned() {
     let nodes: Vec<_> = (0..25).map(node).collect();
     let others = &nodes[1..];
 
--- a/crates/coltsfootroute/tests/integration/quota/world.rs
+++ b/crates/coltsfootroute/tests/integration/quota/world.rs
@@ -209,7 +209,7 @@
 /// Pattern: a team within its limit that sends to two nodes at a time: an even split of the rate would refuse requests
 /// there.
 #[test]
-fn demand_that_wanders_between_nodes_finds_its_credit_there() {
+fn demand_that_moves_between_nodes_is_not_refused() {
     let mut world = QuotaWorld::new(2);
 
     for round in 0..10 {
@@ -237,7 +237,7 @@
 
 /// Pattern: the owner of a team that is far over its limit dies; nodes are notified at different times.
 #[test]
-fn the_death_of_an_owner_lets_nobody_over_the_limit() {
+fn the_failure_of_an_owner_does_not_exceed_the_limit() {
     for seed in 0..20 {
         let mut world = QuotaWorld::new(seed);
         world.run(703.0, 6_000, 0..NODES);
@@ -254,7 +254,7 @@
 
 /// Pattern: the owner dies while the team is within its limit: the nodes continue with their own shares of the rate.
 #[test]
-fn the_death_of_an_owner_costs_a_team_within_its_limit_little() {
+fn the_failure_of_an_owner_refuses_few_requests_within_the_limit() {
     let mut world = QuotaWorld::new(3);
     world.run(95.0, 6_000, 0..NODES);
     world.dead.push(0);
@@ -268,7 +268,7 @@
 
 /// Pattern: nodes disagree about the owner for seconds, as when only some of them know a new node.
 #[test]
-fn two_owners_at_a_time_let_nobody_over_the_limit() {
+fn two_concurrent_owners_do_not_exceed_the_limit() {
     for seed in 0..20 {
         let mut world = QuotaWorld::new(seed);
         world.run(703.0, 6_000, 0..NODES);
@@ -283,7 +283,7 @@
 
 /// Pattern: a tenth of the credit requests is lost, under demand far over the limit.
 #[test]
-fn lost_questions_let_nobody_over_the_limit() {
+fn lost_credit_requests_do_not_exceed_the_limit() {
     for seed in 0..20 {
         let mut world = QuotaWorld::new(seed);
         world.loss = 100;
@@ -295,7 +295,7 @@
 
 /// Pattern: an operator lowers the limit while the team sends far over it: one window later the new limit applies.
 #[test]
-fn a_limit_that_falls_holds_a_window_later() {
+fn a_lowered_limit_applies_a_window_later() {
     let mut world = QuotaWorld::new(4);
     world.run(703.0, 8_000, 0..NODES);
     world.limit = RateLimit { per_s: 30, burst: 30 };
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn questions_are_few_against_requests() {
+fn credit_requests_are_few_against_requests() {
     let mut world = QuotaWorld::new(5);
 
     world.run(140.0, 20_000, 0..4);
@@ -320,7 +320,7 @@
 
 /// Pattern: a team far over its limit, whose nodes are all denied credit for now.
 #[test]
-fn who_has_no_credit_does_not_ask_for_each_request() {
+fn a_node_without_credit_does_not_request_it_for_each_request() {
     let mut world = QuotaWorld::new(7);
 
     world.run(703.0, 20_000, 0..NODES);
--- a/crates/coltsfootroute/tests/integration/team.rs
+++ b/crates/coltsfootroute/tests/integration/team.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_key_leads_to_the_team_that_holds_it_and_to_no_other() {
+fn a_key_identifies_only_the_team_that_holds_it() {
     let schema = schema(&[team("red", "k-red", ""), team("blue", "k-blue", "")].join(", "));
     let table = TeamTable::new(&schema.teams);
 
@@ -64,7 +64,7 @@
 /// Pattern: two teams send the same mix. Whatever the more important one sends goes before all of the other; within
 /// each the operations keep their order.
 #[test]
-fn the_importance_of_a_team_goes_before_that_of_the_operation() {
+fn the_importance_of_a_team_precedes_that_of_the_operation() {
     let teams = [team("red", "k1", ", importance: high"), team("blue", "k2", ", importance: low")];
     let schema = schema(&teams.join(", "));
     let ranks = RequestRanks::new(&schema);
@@ -81,10 +81,7 @@
 #[case::in_proportion("red", 29)]
 #[case::the_lowest("blue", 1)]
 #[case::without_a_rate("green", 1)]
-fn a_team_has_as_many_turns_in_a_queue_as_its_rate_deserves(
-    #[case] name: &str,
-    #[case] turns: u32,
-) {
+fn turns_in_a_queue_are_proportional_to_the_rate(#[case] name: &str, #[case] turns: u32) {
     let teams = [
         team("red", "k1", ", rate: {per_s: 149, burst: 149}"),
         team("blue", "k2", ", rate: {per_s: 5, burst: 0}"),
--- a/crates/coltsfootroute/tests/integration/util/once_world.rs
+++ b/crates/coltsfootroute/tests/integration/util/once_world.rs
@@ -216,7 +216,7 @@
             (_, ClaimResult::Replay(answer)) => self.replay(claim_id, &answer),
             (_, ClaimResult::Busy(claim)) => self.on_busy(claim_id, &claim),
             (outcome, _) => {
-                self.record_outcome(claim_id, outcome.expect("a result but dispatch"), &reason)
+                self.record_outcome(claim_id, outcome.expect("a result other than dispatch"), &reason)
             }
         }
     }
@@ -236,7 +236,7 @@
     /// Queries the holder, as a guard does when another attempt has claimed its key.
     fn on_busy(&mut self, claim_id: ClaimId, claim: &ClaimDetails) {
         let holder = (0..self.guards.len()).find(|index| node(*index) == claim.holder.node);
-        let holder = holder.expect("a guard of this world");
+        let holder = holder.expect("a guard of this simulation");
         let view = if self.incarnations[holder] == claim.holder.incarnation {
             HolderView::Answered(self.guards[holder].holder_answer(claim.claim_id))
         } else {
@@ -262,15 +262,15 @@
         };
         let attempt = &self.attempts[&claim_id];
         let first = &self.first_answers[&attempt.key];
-        assert_eq!(body, first.answer, "another answer than the first");
-        assert_eq!(attempt.body_digest, first.request, "the answer to another body");
+        assert_eq!(body, first.answer, "replayed another answer than the first one");
+        assert_eq!(attempt.body_digest, first.request, "replayed the answer to another body");
         let text = format!(" replay of {}", String::from_utf8_lossy(&body[..body.len().min(12)]));
         self.record_outcome(claim_id, CallOutcome::Completed, &text);
     }
 
     fn record_outcome(&mut self, claim_id: ClaimId, outcome: CallOutcome, detail: &str) {
         let attempt = &mut self.attempts[&claim_id];
-        assert_eq!(attempt.reported, None, "one request answered twice");
+        assert_eq!(attempt.reported, None, "one request was answered twice");
         if outcome == CallOutcome::NotRun {
             assert!(!attempt.was_dispatched, "reported not-run after its dispatch");
         }
