--- a/crates/coltsfootroute/tests/integration/freshness/head_interval.rs
+++ b/crates/coltsfootroute/tests/integration/freshness/head_interval.rs
@@ -1,4 +1,4 @@
-//! Reads of the newest revision: soon by someone, and not by everyone.
+//! Tests of the interval of reads of the newest revision: some node reads soon, but not every node does.
 
 use std::time::Duration;
 
@@ -7,11 +7,12 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Guards against an accepted revision that is unknown for minutes, and against reads that grow with the fleet.
+/// Guards against an accepted revision that stays unknown for minutes, and against a rate of reads that grows with the
+/// number of nodes.
 #[rstest]
 #[case::small(12)]
 #[case::large(200)]
-fn some_node_reads_every_other_second_whatever_their_number(#[case] nodes: u16) {
+fn some_node_reads_every_two_seconds_regardless_of_their_number(#[case] nodes: u16) {
     let mut rng = Pcg64::seed_from_u64(3);
 
     let pauses = (0..1_000).map(|_| draw_head_interval(usize::from(nodes), &mut rng));
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn the_reads_of_a_fleet_of_thousands_stay_far_below_the_rate_of_the_store() {
+fn reads_of_thousands_of_nodes_stay_far_below_the_store_rate() {
     let mut rng = Pcg64::seed_from_u64(3);
 
     let shortest = (0..1_000).map(|_| draw_head_interval(18_000, &mut rng)).min().expect("some");
