--- a/crates/coltsfootroute/src/event/event_record.rs
+++ b/crates/coltsfootroute/src/event/event_record.rs
@@ -42,7 +42,7 @@
 
     /// Formats the record as one line of JSON without a line terminator.
     pub fn to_json(&self) -> String {
-        // Serialization can't fail: every field is a number, text or enumeration.
+        // Serialisation can't fail: every field is a number, text or enumeration.
         serde_json::to_string(self).unwrap_or_default()
     }
 
--- a/crates/coltsfootroute/src/revision/content_digest.rs
+++ b/crates/coltsfootroute/src/revision/content_digest.rs
@@ -46,9 +46,9 @@
     }
 
     fn of_json(value: &impl serde::Serialize) -> Self {
-        // Serialization can't fail: the records contain only text and numbers.
+        // Serialisation can't fail: the records contain only text and numbers.
         Self::of_bytes(
-            &serde_json::to_vec(value).expect("records of text and numbers serialize to JSON"),
+            &serde_json::to_vec(value).expect("records of text and numbers serialise to JSON"),
         )
     }
 }
--- a/crates/coltsfootroute/src/revision/revision_record.rs
+++ b/crates/coltsfootroute/src/revision/revision_record.rs
@@ -60,9 +60,9 @@
     fn computed_chain(&self) -> ChainDigest {
         let Self { revision, parent, content, operator, wall_ms, key, changed, chain: _ } = self;
         let fields = (revision, parent, content, operator, wall_ms, key, changed);
-        // Serialization can't fail: the fields contain only text and numbers.
+        // Serialisation can't fail: the fields contain only text and numbers.
         ChainDigest::of_bytes(
-            &serde_json::to_vec(&fields).expect("records of text and numbers serialize to JSON"),
+            &serde_json::to_vec(&fields).expect("records of text and numbers serialise to JSON"),
         )
     }
 }
--- a/crates/coltsfootroute/src/revision/schema_rows.rs
+++ b/crates/coltsfootroute/src/revision/schema_rows.rs
@@ -28,8 +28,8 @@
 
 /// Encodes a row's value for storage.
 pub(super) fn encode(row: &impl Serialize) -> String {
-    // Serialization can't fail: rows contain only text and numbers.
-    serde_json::to_string(row).expect("rows of text and numbers serialize to JSON")
+    // Serialisation can't fail: rows contain only text and numbers.
+    serde_json::to_string(row).expect("rows of text and numbers serialise to JSON")
 }
 
 /// Decodes a row's stored value.
--- a/crates/coltsfootroute/tests/integration/revision/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/revision/fuzz.rs
@@ -25,17 +25,17 @@
     /// One request of a running submission is sent, with the given delivery.
     Step { which: usize, delivery: Delivery },
     /// Delayed writes arrive.
-    Late,
+    DeliverDelayed,
     /// A node reads the table service.
     Load { node: usize },
     /// A node creates a delta for another, which may arrive at any time: never, once or several times.
-    Ask { from: usize, to: usize },
+    CreateDelta { from: usize, to: usize },
     /// A delta in transit arrives.
     Deliver { which: usize, to: usize },
     /// A node loses its state and queries the others for their revisions.
     Restart { node: usize },
     /// A node receives a peer's revision, or stops waiting for the peer.
-    Hear { from: usize, to: usize, is_lost: bool },
+    ReceiveRevision { from: usize, to: usize, is_lost: bool },
 }
 
 pub struct Script;
@@ -63,13 +63,13 @@
             1 => (any::<usize>(), any::<bool>())
                 .prop_map(|(which, same)| FuzzStep::Repeat { which, same }),
             16 => (any::<usize>(), delivery).prop_map(|(which, delivery)| FuzzStep::Step { which, delivery }),
-            1 => Just(FuzzStep::Late),
+            1 => Just(FuzzStep::DeliverDelayed),
             2 => node().prop_map(|node| FuzzStep::Load { node }),
-            4 => (node(), node()).prop_map(|(from, to)| FuzzStep::Ask { from, to }),
+            4 => (node(), node()).prop_map(|(from, to)| FuzzStep::CreateDelta { from, to }),
             6 => (any::<usize>(), node()).prop_map(|(which, to)| FuzzStep::Deliver { which, to }),
             1 => node().prop_map(|node| FuzzStep::Restart { node }),
             8 => (node(), node(), prop::bool::weighted(0.2))
-                .prop_map(|(from, to, is_lost)| FuzzStep::Hear { from, to, is_lost }),
+                .prop_map(|(from, to, is_lost)| FuzzStep::ReceiveRevision { from, to, is_lost }),
         ]
         .boxed()
     }
@@ -141,7 +141,7 @@
         self.check_rise(&name, before, applied.expect("the table service holds one history"));
     }
 
-    fn ask(&mut self, from: usize, to: usize) {
+    fn create_delta(&mut self, from: usize, to: usize) {
         let since = self.world.node(&to.to_string()).state.revision();
         if let Some(delta) = self.world.node(&from.to_string()).state.delta_since(since) {
             let name = format!("d{}", self.world.deltas.len());
@@ -176,7 +176,7 @@
         (0..NODES).filter(|peer| *peer != node).for_each(|peer| started.gate.await_peer(id(peer)));
     }
 
-    fn hear(&mut self, from: usize, to: usize, is_lost: bool) {
+    fn receive_revision(&mut self, from: usize, to: usize, is_lost: bool) {
         let revision = self.world.node(&from.to_string()).state.revision();
         let node = self.world.node(&to.to_string());
         if is_lost {
@@ -283,7 +283,7 @@
         self.repeat_unresolved();
         self.load(0);
         for node in 1..NODES {
-            self.ask(0, node);
+            self.create_delta(0, node);
             let last = self.world.deltas.len().saturating_sub(1);
             self.deliver(last, node);
             let revision = self.world.node(&node.to_string()).state.revision();
@@ -351,12 +351,14 @@
             FuzzStep::Submit { stale, slots } => run.submit_new(stale, slots),
             FuzzStep::Repeat { which, same } => run.repeat(which, same),
             FuzzStep::Step { which, delivery } => run.step(which, delivery),
-            FuzzStep::Late => drop(run.world.deliver_delayed()),
+            FuzzStep::DeliverDelayed => drop(run.world.deliver_delayed()),
             FuzzStep::Load { node } => run.load(node),
-            FuzzStep::Ask { from, to } => run.ask(from, to),
+            FuzzStep::CreateDelta { from, to } => run.create_delta(from, to),
             FuzzStep::Deliver { which, to } => run.deliver(which, to),
             FuzzStep::Restart { node } => run.restart(node),
-            FuzzStep::Hear { from, to, is_lost } => run.hear(from, to, is_lost),
+            FuzzStep::ReceiveRevision { from, to, is_lost } => {
+                run.receive_revision(from, to, is_lost)
+            }
         }
         run.try_gates();
         run
--- a/crates/coltsfootroute/tests/integration/revision/pull_plan.rs
+++ b/crates/coltsfootroute/tests/integration/revision/pull_plan.rs
@@ -51,12 +51,12 @@
     let mut plan = plan_with_candidates(9);
     let mut now = at(0);
 
-    let asked = (0..9).filter(|_| {
+    let queried = (0..9).filter(|_| {
         now = now + Duration::from_secs(1);
         plan.next_peer(now, HELD).is_some()
     });
 
-    assert_eq!(asked.count(), 3);
+    assert_eq!(queried.count(), 3);
     assert_eq!(plan.next_hedge_at(), None);
 }
 
