--- a/crates/coltsfootroute/src/quota/team_credit.rs
+++ b/crates/coltsfootroute/src/quota/team_credit.rs
@@ -106,7 +106,7 @@
         if waiting == 0 && !is_low {
             return 0;
         }
-        // A few hundred at most. Rounded down, so that a team with few requests requests credit for each of them.
+        // A few hundred at most. Rounded down, so that a team with low demand requests credit for each request.
         (ahead as u32).saturating_sub(self.available) + waiting
     }
 
--- a/crates/coltsfootroute/tests/integration/once/fuzz.rs
+++ b/crates/coltsfootroute/tests/integration/once/fuzz.rs
@@ -152,7 +152,10 @@
             let may_run = match &record {
                 None | Some(ClaimRecord::Free) => true,
                 Some(ClaimRecord::Claimed(claim)) => {
-                    assert!(!world.is_alive(claim.holder), "an abandoned claim remains in the table");
+                    assert!(
+                        !world.is_alive(claim.holder),
+                        "an abandoned claim remains in the table"
+                    );
                     false
                 }
                 Some(_) => false,
--- a/crates/coltsfootroute/tests/integration/util/once_world.rs
+++ b/crates/coltsfootroute/tests/integration/util/once_world.rs
@@ -215,9 +215,11 @@
             }
             (_, ClaimResult::Replay(answer)) => self.replay(claim_id, &answer),
             (_, ClaimResult::Busy(claim)) => self.on_busy(claim_id, &claim),
-            (outcome, _) => {
-                self.record_outcome(claim_id, outcome.expect("a result other than dispatch"), &reason)
-            }
+            (outcome, _) => self.record_outcome(
+                claim_id,
+                outcome.expect("a result other than dispatch"),
+                &reason,
+            ),
         }
     }
 
