--- a/crates/coltsfootroute/tests/integration/quota/world.rs
+++ b/crates/coltsfootroute/tests/integration/quota/world.rs
@@ -315,7 +315,7 @@
     world.run(140.0, 20_000, 0..4);
 
     let sent = world.taken.len();
-    assert!(world.asked * 4 <= sent, "{} requests for {sent} requests", world.asked);
+    assert!(world.asked * 4 <= sent, "{} credit requests for {sent} requests", world.asked);
 }
 
 /// Pattern: a team far over its limit, whose nodes are all denied credit for now.
@@ -326,5 +326,5 @@
     world.run(703.0, 20_000, 0..NODES);
 
     let sent = world.taken.len() + world.refused;
-    assert!(world.asked * 2 <= sent, "{} requests for {sent} requests", world.asked);
+    assert!(world.asked * 2 <= sent, "{} credit requests for {sent} requests", world.asked);
 }
