--- a/crates/coltsfoot-node/src/dispatch.rs
+++ b/crates/coltsfoot-node/src/dispatch.rs
@@ -25,6 +25,6 @@
 pub use dispatch_parts::DispatchParts;
 pub use dispatch_thread::{DispatchThread, FrontDoor};
 pub use entry_port::{EntryPort, EntryReply};
-pub use guard::{UpstreamHeartbeat, UpstreamReceipt, end_to_end};
+pub use guard::{UpstreamHeartbeat, UpstreamReceipt, end_to_end_headers};
 pub use ingress::{CallOrigin, IncomingCall};
 pub use links::UpstreamAnnouncement;
--- a/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
@@ -16,7 +16,7 @@
     context::NodeContext,
     dispatch_parts::DispatchParts,
     entry_port::EntryPort,
-    guard::{CallGuard, GuardParts},
+    guard::{CallGuard, GuardSettings},
     ingress::CallIngress,
     links::{
         CallHandler, CreditOwner, CreditWish, IntroductionDesk, IntroductionStore, PeerHandler,
@@ -62,7 +62,7 @@
         let quarantine =
             Rc::new(QuarantineDesk::new(context.clone(), links.clone(), parts.store.clone()));
         let owner = Rc::new(CreditOwner::new(context.clone()));
-        let guard_parts = GuardParts {
+        let guard_settings = GuardSettings {
             dialect: parts.dialect,
             shed_policy: parts.shed_policy,
             throttle: parts.throttle,
@@ -79,7 +79,7 @@
             links.clone(),
             introduction.clone(),
             quarantine.clone(),
-            guard_parts,
+            guard_settings,
         ));
         let ingress = Rc::new(CallIngress::new(
             context.clone(),
--- a/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
@@ -100,7 +100,7 @@
         spawn_local(self.clone().upkeep());
         spawn_local(self.guard.clone().tick_gate());
         if self.context.repeat_guard == RepeatGuard::Claims {
-            spawn_local(self.guard.clone().run_errands());
+            spawn_local(self.guard.clone().run_store_tasks());
             spawn_local(self.guard.clone().sweep_records());
         }
         spawn_local(self.introduction.clone().keep_introduced());
--- a/crates/coltsfoot-node/src/dispatch/entry_port.rs
+++ b/crates/coltsfoot-node/src/dispatch/entry_port.rs
@@ -95,11 +95,11 @@
     /// Takes in a heartbeat of the upstream beside the node. Returns once no new work reaches an upstream
     /// that leaves.
     pub async fn hear(&self, heartbeat: UpstreamHeartbeat) -> UpstreamReceipt {
-        self.guard.hear(heartbeat).await
+        self.guard.handle_heartbeat(heartbeat).await
     }
 
     /// The instance has left, or is about to: nothing is dispatched to it from now on.
     pub async fn leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
-        self.guard.hear_leave(instance).await
+        self.guard.handle_leave(instance).await
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/guard.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard.rs
@@ -2,26 +2,26 @@
 
 mod call_guard;
 mod calls_in_flight;
-mod cut_calls;
-mod end_watch;
-mod gate_upkeep;
+mod claim_tasks;
+mod crash_detection;
+mod gate_maintenance;
 mod guard_state;
 mod guarded_call;
-mod held_call;
+mod interrupted_calls;
 mod local_upstream;
-mod once_desk;
-mod once_errands;
 mod once_run;
+mod once_service;
 mod planned_stop;
+mod quarantine_check;
 mod run_permit;
 mod upstream_client;
 mod upstream_heartbeat;
 mod upstream_receipt;
 mod upstream_run;
 
-pub use call_guard::{CallGuard, GuardParts};
-pub use calls_in_flight::{CallSpan, NestedMark};
+pub use call_guard::{CallGuard, GuardSettings};
+pub use calls_in_flight::{CallSpan, NestedCallTracker};
 pub use planned_stop::CallKind;
-pub use upstream_client::end_to_end;
+pub use upstream_client::end_to_end_headers;
 pub use upstream_heartbeat::UpstreamHeartbeat;
 pub use upstream_receipt::UpstreamReceipt;
--- a/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
@@ -20,8 +20,8 @@
 use tokio::sync::Notify;
 
 use super::{
-    calls_in_flight::CallsInFlight, cut_calls::CutCalls, guard_state::GuardState,
-    once_desk::OnceDesk, upstream_client::UpstreamClient,
+    calls_in_flight::CallsInFlight, guard_state::GuardState, interrupted_calls::InterruptedCalls,
+    once_service::OnceService, upstream_client::UpstreamClient,
 };
 use crate::{
     border::UpstreamDialect,
@@ -33,7 +33,7 @@
 };
 
 /// Settings of the guard.
-pub struct GuardParts {
+pub struct GuardSettings {
     /// Headers between node and upstream.
     pub dialect: UpstreamDialect,
     /// What the guard's shed level follows.
@@ -72,7 +72,7 @@
     /// Woken when an upstream of another service may be beside the node.
     pub(in crate::dispatch) service_changed: Notify,
     /// Calls that broke off last, until it is known whether the upstream ended with them.
-    pub(super) cut_calls: RefCell<Option<CutCalls>>,
+    pub(super) interrupted_calls: RefCell<Option<InterruptedCalls>>,
     /// Requests that the upstream has answered of late.
     pub(super) answered: RefCell<AnsweredRequests>,
     /// Bounds the repeats that reach the upstream.
@@ -89,7 +89,7 @@
     pub(super) queue: u32,
     pub(super) shed_policy: ShedPolicy,
     /// What keeps non-repeatable work from running twice.
-    pub(super) once: OnceDesk,
+    pub(super) once: OnceService,
     next_call: Cell<u64>,
 }
 
@@ -100,7 +100,7 @@
         links: Rc<PeerLinks>,
         introduction: Rc<IntroductionDesk>,
         quarantine: Rc<QuarantineDesk>,
-        parts: GuardParts,
+        settings: GuardSettings,
     ) -> Self {
         let identity = &context.identity;
         let answered = AnsweredRequests::new(context.rng.borrow_mut().random(), context.now());
@@ -112,18 +112,22 @@
             answered: RefCell::new(answered),
             state: GuardState::default(),
             spans: CallsInFlight::default(),
-            drain_period: parts.drain.report_after,
-            drain: RefCell::new(DrainState::new(parts.drain)),
+            drain_period: settings.drain.report_after,
+            drain: RefCell::new(DrainState::new(settings.drain)),
             service_changed: Notify::new(),
-            cut_calls: RefCell::default(),
-            throttle: RefCell::new(ServiceThrottle::new(context.now(), parts.throttle)),
-            guards: RefCell::new(GuardTracker::new(parts.first_start)),
-            upstream_client: UpstreamClient::new(context.clock, parts.body_limit, parts.dialect),
+            interrupted_calls: RefCell::default(),
+            throttle: RefCell::new(ServiceThrottle::new(context.now(), settings.throttle)),
+            guards: RefCell::new(GuardTracker::new(settings.first_start)),
+            upstream_client: UpstreamClient::new(
+                context.clock,
+                settings.body_limit,
+                settings.dialect,
+            ),
             is_closing: Cell::new(false),
-            closing_time: parts.closing_time,
-            queue: parts.queue,
-            shed_policy: parts.shed_policy,
-            once: OnceDesk::new(holder, parts.store, parts.nodes),
+            closing_time: settings.closing_time,
+            queue: settings.queue,
+            shed_policy: settings.shed_policy,
+            once: OnceService::new(holder, settings.store, settings.nodes),
             next_call: Cell::new(0),
             context,
         }
--- a/crates/coltsfoot-node/src/dispatch/guard/calls_in_flight.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/calls_in_flight.rs
@@ -160,13 +160,13 @@
         )
 }
 
-/// A nested call under way; dropped without [`NestedMark::end`] it may have run.
-pub struct NestedMark {
+/// A nested call under way; dropped without [`NestedCallTracker::finish`] it may have run.
+pub struct NestedCallTracker {
     span: Rc<CallSpan>,
     ran: bool,
 }
 
-impl NestedMark {
+impl NestedCallTracker {
     /// Marks a nested call of `span` as under way.
     pub fn begin(span: Rc<CallSpan>) -> Self {
         span.nested_open.set(span.nested_open.get() + 1);
@@ -174,12 +174,12 @@
     }
 
     /// The nested call has ended.
-    pub fn end(mut self, outcome: CallOutcome) {
+    pub fn finish(mut self, outcome: CallOutcome) {
         self.ran = outcome != CallOutcome::NotRun;
     }
 }
 
-impl Drop for NestedMark {
+impl Drop for NestedCallTracker {
     fn drop(&mut self) {
         let span = &self.span;
         span.nested_open.set(span.nested_open.get() - 1);
@@ -198,7 +198,7 @@
 
 impl CallsInFlight {
     /// Enters a call under its context, drawn at random where it has none of its own, and returns it.
-    pub fn enter(&self, own: Option<u128>, rng: &mut impl Rng, span: Rc<CallSpan>) -> u128 {
+    pub fn insert(&self, own: Option<u128>, rng: &mut impl Rng, span: Rc<CallSpan>) -> u128 {
         let context = own.unwrap_or_else(|| rng.random::<u128>());
         self.spans.borrow_mut().insert(context, span);
         context
@@ -211,7 +211,7 @@
     }
 
     /// Forgets a call that has ended, unless a later one has taken its context.
-    pub fn leave(&self, context: u128, span: &CallSpan) {
+    pub fn remove(&self, context: u128, span: &CallSpan) {
         let mut spans = self.spans.borrow_mut();
         if spans.get(&context).is_some_and(|held| std::ptr::eq(&**held, span)) {
             spans.swap_remove(&context);
--- a/crates/coltsfoot-node/src/dispatch/guard/once_errands.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/claim_tasks.rs
@@ -16,7 +16,7 @@
     time::{sleep, sleep_until, timeout},
 };
 
-use super::{call_guard::CallGuard, once_desk::ERRAND_DEADLINE};
+use super::{call_guard::CallGuard, once_service::STORE_TASK_TIMEOUT};
 use crate::{
     clock::wall_millis,
     dispatch::context::{CLAIM_BYTES, WORD_BYTES},
@@ -30,15 +30,15 @@
 
 impl CallGuard {
     /// Sends what claims owe the store, each as a task of its own.
-    pub async fn run_errands(self: Rc<Self>) {
+    pub async fn run_store_tasks(self: Rc<Self>) {
         loop {
-            let errand = self.once.guard.borrow_mut().next_task(self.context.now());
-            if let Some(errand) = errand {
-                spawn_local(self.clone().run_errand(errand));
+            let task = self.once.guard.borrow_mut().next_task(self.context.now());
+            if let Some(task) = task {
+                spawn_local(self.clone().run_store_task(task));
                 continue;
             }
             let next = self.once.guard.borrow().next_task_at();
-            let changed = self.once.errands_changed.notified();
+            let changed = self.once.tasks_changed.notified();
             match next {
                 Some(at) => tokio::select! {
                     () = sleep_until(self.context.clock.instant_at(at).into()) => {}
@@ -49,17 +49,17 @@
         }
     }
 
-    async fn run_errand(self: Rc<Self>, errand: StoreTask) {
-        let claim_id = errand.claim_id;
-        let mut request = Some(errand.request);
+    async fn run_store_task(self: Rc<Self>, task: StoreTask) {
+        let claim_id = task.claim_id;
+        let mut request = Some(task.request);
         while let Some(next) = request.take() {
             let reply = self.once.carry_out(next).await;
             let mut guard = self.once.guard.borrow_mut();
             let follow = guard.on_task_reply(claim_id, &reply, self.context.now());
-            request = follow.map(|errand| errand.request);
+            request = follow.map(|task| task.request);
         }
         self.once.settled.notify_waiters();
-        self.once.errands_changed.notify_one();
+        self.once.tasks_changed.notify_one();
     }
 
     /// Shrinks the records whose retention has ended, now and then.
@@ -74,7 +74,8 @@
         let mut sweeper = RecordSweeper::new(WallTime(wall_millis()), SWEEP_PAGE);
         let mut request = sweeper.start();
         loop {
-            let reply = self.once.store.request(request, ERRAND_DEADLINE, StoreUse::Answer).await;
+            let reply =
+                self.once.store.request(request, STORE_TASK_TIMEOUT, StoreUse::Answer).await;
             match sweeper.on_reply(&reply) {
                 SweepStep::Send(next) => request = next,
                 // Objects without a record cost room only; the store client has no delete yet.
@@ -84,22 +85,26 @@
     }
 
     /// Asks the holder of a claim what became of it.
-    pub(super) async fn ask_holder(&self, holder: ClaimHolder, claim: ClaimId) -> HolderView {
+    pub(super) async fn query_holder(&self, holder: ClaimHolder, claim: ClaimId) -> HolderView {
         if holder.node == self.context.identity.node {
-            return self.own_view(holder, claim);
+            return self.local_holder_view(holder, claim);
         }
-        let asked = timeout(HOLDER_TIMEOUT, self.ask_remote_holder(holder, claim)).await;
+        let asked = timeout(HOLDER_TIMEOUT, self.query_remote_holder(holder, claim)).await;
         asked.ok().flatten().map_or(HolderView::Unreachable, HolderView::Answered)
     }
 
-    fn own_view(&self, holder: ClaimHolder, claim: ClaimId) -> HolderView {
+    fn local_holder_view(&self, holder: ClaimHolder, claim: ClaimId) -> HolderView {
         if holder.incarnation != self.context.identity.incarnation {
             return HolderView::Ended;
         }
         HolderView::Answered(self.once.guard.borrow().holder_answer(claim))
     }
 
-    async fn ask_remote_holder(&self, holder: ClaimHolder, claim: ClaimId) -> Option<HolderAnswer> {
+    async fn query_remote_holder(
+        &self,
+        holder: ClaimHolder,
+        claim: ClaimId,
+    ) -> Option<HolderAnswer> {
         let link = self.links.get(holder.node).await.ok()?;
         let mut request = link.client().claim_state_request();
         let (high, low) = split_id(RequestId(claim.0));
--- a/crates/coltsfoot-node/src/dispatch/guard/gate_upkeep.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/gate_maintenance.rs
@@ -12,15 +12,15 @@
 
 /// An upstream whose slots are announced and that rejects with half of them free has a fault, not a lack of
 /// room.
-const TRUSTED_SHARE: f64 = 0.5;
+const MIN_DECREASE_SHARE: f64 = 0.5;
 
 /// Slots of each hundred that stay free: upstreams are known to slow down when they are nearly full, from 95 in
 /// use on, by a third, which costs more than the slots bring.
-const FREE_PERCENT: u32 = 6;
+const FREE_SLOT_PERCENT: u32 = 6;
 
 impl CallGuard {
     /// Creates the gate, or adapts it to what the upstream says of itself.
-    pub(super) fn fit_gate(&self, slots: u32) {
+    pub(super) fn configure_gate(&self, slots: u32) {
         let now = self.context.now();
         let fresh = self.state.gate.borrow().is_none();
         if fresh {
@@ -30,8 +30,8 @@
             let (settings, limit) = match self.shed_policy {
                 ShedPolicy::Refusals => (settings, AimdLimit::new(slots)),
                 ShedPolicy::Demand => (
-                    settings.with_free_percent(FREE_PERCENT),
-                    AimdLimit::new(slots).with_min_decrease_share(TRUSTED_SHARE),
+                    settings.with_free_percent(FREE_SLOT_PERCENT),
+                    AimdLimit::new(slots).with_min_decrease_share(MIN_DECREASE_SHARE),
                 ),
             };
             let gate = AdmissionGate::with_limit(settings, limit);
--- a/crates/coltsfoot-node/src/dispatch/guard/guarded_call.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/guarded_call.rs
@@ -55,23 +55,23 @@
             Ok(repeatable) => repeatable,
             Err(reason) => return self.refuse_guarded(&call, reason),
         };
-        if let Some(wait) = self.held_back(&call, span) {
-            return self.refuse_held(&call, wait);
+        if let Some(wait) = self.quarantine_delay(&call, span) {
+            return self.refuse_quarantined(&call, wait);
         }
-        if !self.bears_repeat(&call) {
+        if !self.try_acquire_repeat(&call) {
             return self.refuse_guarded(&call, RefusalReason::RetryBudget);
         }
         let permit = match self.admit(&call, deadline).await {
             Ok(permit) => permit,
             Err(reason) => {
-                self.give_back_repeat(&call);
+                self.refund_repeat(&call);
                 return self.refuse_guarded(&call, reason);
             }
         };
         // What was let in may have waited while others learnt of it.
-        if let Some(wait) = self.held_at_last(&call, span).await {
-            self.give_back_repeat(&call);
-            return self.refuse_held(&call, wait);
+        if let Some(wait) = self.claim_trial_or_delay(&call, span).await {
+            self.refund_repeat(&call);
+            return self.refuse_quarantined(&call, wait);
         }
         self.count_first_attempt(&call);
         if repeatable {
@@ -97,7 +97,7 @@
 
     /// Whether the call may reach the upstream by the bound on repeats. All callers share the bound here, so that none
     /// is left with the part of it that its own few calls have earned.
-    fn bears_repeat(&self, call: &CallRequest) -> bool {
+    fn try_acquire_repeat(&self, call: &CallRequest) -> bool {
         // The uncontrolled half of a measurement retries at each hop, bounded by its policy.
         if !call.is_retry || !self.context.control.is_on() {
             return true;
@@ -131,7 +131,7 @@
     }
 
     /// A repeat that was granted has not reached the upstream.
-    fn give_back_repeat(&self, call: &CallRequest) {
+    fn refund_repeat(&self, call: &CallRequest) {
         if call.is_retry {
             self.throttle.borrow_mut().refund(self.context.now(), call.importance);
         }
--- a/crates/coltsfoot-node/src/dispatch/guard/cut_calls.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/interrupted_calls.rs
@@ -11,7 +11,7 @@
 
 /// A call that broke off.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct CutCall {
+pub(super) struct InterruptedCall {
     pub(super) request: RequestId,
     pub(super) fingerprint: RequestFingerprint,
     /// Whether the same request was answered here of late.
@@ -20,7 +20,7 @@
 
 /// Calls of one life of the upstream that broke off at about the same time.
 #[derive(Clone, Debug)]
-pub(super) struct CutCalls {
+pub(super) struct InterruptedCalls {
     /// The end of the upstream, if it is one.
     pub(super) crash: CrashId,
     /// Where the upstream listened.
@@ -30,21 +30,21 @@
     /// When the first broke off.
     pub(super) since: MonotonicTime,
     /// The calls. Invariant: at most [`MAX_SUSPECTS`].
-    pub(super) calls: Vec<CutCall>,
+    pub(super) calls: Vec<InterruptedCall>,
     /// All of them, those left out too.
     pub(super) count: u32,
     /// Whether the upstream is known to have ended.
-    pub(super) has_ended: bool,
+    pub(super) has_crashed: bool,
 }
 
-impl CutCalls {
+impl InterruptedCalls {
     /// Adds a call; returns whether it is among those told.
-    pub(super) fn add(&mut self, call: CutCall) -> bool {
+    pub(super) fn add(&mut self, call: InterruptedCall) -> bool {
         self.count += 1;
-        let is_told = self.calls.len() < MAX_SUSPECTS;
-        if is_told {
+        let is_reported = self.calls.len() < MAX_SUSPECTS;
+        if is_reported {
             self.calls.push(call);
         }
-        is_told
+        is_reported
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
@@ -37,9 +37,9 @@
             let body = serde_json::json!({ "message": "the node is leaving" });
             return HttpReply::json(StatusCode::SERVICE_UNAVAILABLE, &body);
         }
-        self.note_next_life(announcement.instance.as_ref());
-        if self.take_in(&announcement) {
-            self.fit_gate(announcement.slots);
+        self.note_new_instance(announcement.instance.as_ref());
+        if self.store_announcement(&announcement) {
+            self.configure_gate(announcement.slots);
             self.context.events.emit(EventKind::UpstreamAnnounced {
                 service: announcement.service.clone(),
                 upstream: announcement.address,
@@ -82,7 +82,7 @@
     }
 
     /// Whether the announcement says anything new.
-    fn take_in(&self, announcement: &UpstreamAnnouncement) -> bool {
+    fn store_announcement(&self, announcement: &UpstreamAnnouncement) -> bool {
         let mut upstream = self.state.upstream.borrow_mut();
         let same = upstream
             .as_ref()
@@ -168,35 +168,38 @@
 
     /// Takes in a heartbeat of an upstream that names its lives. Returns once no new work reaches one that
     /// leaves.
-    pub async fn hear(self: &Rc<Self>, heartbeat: UpstreamHeartbeat) -> UpstreamReceipt {
+    pub async fn handle_heartbeat(
+        self: &Rc<Self>,
+        heartbeat: UpstreamHeartbeat,
+    ) -> UpstreamReceipt {
         if heartbeat.is_leaving {
-            return self.hear_draining(heartbeat).await;
+            return self.handle_draining_heartbeat(heartbeat).await;
         }
         let UpstreamHeartbeat { announcement, instance, sequence, .. } = heartbeat;
         // A late one must not bring back what the life before this one has seen off.
         if !self.introduction.await_resumed().await {
-            return self.not_yet(instance.name, false);
+            return self.not_acknowledged(instance.name, false);
         }
-        if self.take_heartbeat(&instance, sequence) == HeartbeatVerdict::Fresh {
+        if self.record_heartbeat(&instance, sequence) == HeartbeatVerdict::Fresh {
             self.announce_upstream(announcement).await;
         }
         UpstreamReceipt::Acknowledged
     }
 
-    async fn hear_draining(&self, heartbeat: UpstreamHeartbeat) -> UpstreamReceipt {
+    async fn handle_draining_heartbeat(&self, heartbeat: UpstreamHeartbeat) -> UpstreamReceipt {
         let UpstreamHeartbeat { announcement, instance, sequence, .. } = heartbeat;
-        match self.take_heartbeat(&instance, sequence) {
+        match self.record_heartbeat(&instance, sequence) {
             HeartbeatVerdict::Fresh => self.note_leaving(announcement).await,
             // An older word of an upstream that serves since changes nothing, and nothing is promised for it.
             HeartbeatVerdict::Stale if !self.is_upstream_leaving() => {
-                return self.not_yet(instance.name, true);
+                return self.not_acknowledged(instance.name, true);
             }
             HeartbeatVerdict::Stale | HeartbeatVerdict::Departed => {}
         }
-        self.keep_leave(instance).await
+        self.persist_leave(instance).await
     }
 
-    fn take_heartbeat(&self, instance: &InstanceIncarnation, sequence: u64) -> HeartbeatVerdict {
+    fn record_heartbeat(&self, instance: &InstanceIncarnation, sequence: u64) -> HeartbeatVerdict {
         let verdict = self.state.instances.borrow_mut().note_heartbeat(instance, sequence);
         if verdict != HeartbeatVerdict::Fresh {
             let departed = verdict == HeartbeatVerdict::Departed;
@@ -212,11 +215,11 @@
 
     /// The instance has left, or is about to: nothing is dispatched to it from now on. A leave that does not say of which
     /// life it is speaks of all until now.
-    pub async fn hear_leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
+    pub async fn handle_leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
         let until = instance.started.unwrap_or_else(|| StartTime(wall_millis()));
         let left = self.leave_instance(instance.clone().with_started(Some(until))).await;
         // The life that was heard may say when it began where its leave does not.
-        self.keep_leave(left.unwrap_or(instance)).await
+        self.persist_leave(left.unwrap_or(instance)).await
     }
 
     /// Takes in a leave; returns the present life if it is that one.
@@ -231,7 +234,7 @@
 
     /// Acknowledges a leave once the node's row tells of it, which outlasts this node and all others. Until then the upstream
     /// gets no new work either, and asks again. A life before the present one needs no row: no restart takes it up.
-    async fn keep_leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
+    async fn persist_leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
         let present = self.state.instances.borrow().current().cloned();
         if present.is_some_and(|present| present != instance) {
             return UpstreamReceipt::Acknowledged;
@@ -240,12 +243,12 @@
         if self.introduction.depart(instance).await {
             return UpstreamReceipt::Acknowledged;
         }
-        self.not_yet(name, true)
+        self.not_acknowledged(name, true)
     }
 
-    fn not_yet(&self, instance: InstanceName, is_leaving: bool) -> UpstreamReceipt {
+    fn not_acknowledged(&self, instance: InstanceName, is_leaving: bool) -> UpstreamReceipt {
         self.context.events.emit(EventKind::NotAcknowledged { instance, leaving: is_leaving });
-        UpstreamReceipt::NotYet
+        UpstreamReceipt::NotAcknowledged
     }
 
     /// Takes the upstream up again that the life before this one guarded: its next heartbeat may be seconds
--- a/crates/coltsfoot-node/src/dispatch/guard/once_run.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/once_run.rs
@@ -25,9 +25,9 @@
 use crate::clock::wall_millis;
 
 /// Pause before a key whose record is about to move on is looked at again.
-const BUSY_PAUSE: Duration = Duration::from_millis(20);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time to fetch a large answer.
-const OBJECT_DEADLINE: Duration = Duration::from_secs(2);
+const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl CallGuard {
     /// Claims the call's key, then runs the call, or says what became of the run before.
@@ -44,7 +44,7 @@
             match result {
                 ClaimResult::Dispatch(ticket) => {
                     let verdict = self.once.guard.borrow_mut().dispatch(ticket, self.context.now());
-                    self.once.errands_changed.notify_one();
+                    self.once.tasks_changed.notify_one();
                     let DispatchVerdict::Run(run) = verdict else {
                         return self.refusal(RefusalReason::Deadline, CallOutcome::NotRun);
                     };
@@ -54,15 +54,15 @@
                 }
                 ClaimResult::Replay(answer) => return self.replay(answer).await,
                 ClaimResult::Busy(note) => {
-                    let view = self.ask_holder(note.holder, note.claim_id).await;
+                    let view = self.query_holder(note.holder, note.claim_id).await;
                     let verdict = BusyVerdict::of(view);
                     if let BusyVerdict::Refuse(outcome) = verdict {
                         return self.refusal(RefusalReason::KeyInProgress, outcome);
                     }
-                    if self.context.now() + BUSY_PAUSE >= deadline {
+                    if self.context.now() + BUSY_RETRY_DELAY >= deadline {
                         return self.refusal(RefusalReason::KeyInProgress, CallOutcome::Unknown);
                     }
-                    sleep(BUSY_PAUSE).await;
+                    sleep(BUSY_RETRY_DELAY).await;
                 }
                 refused => {
                     let reason = refused.reason().unwrap_or(RefusalReason::StoreUnavailable);
@@ -82,7 +82,7 @@
             let request = match step {
                 ClaimStep::Send(request) => request,
                 ClaimStep::Done(result) => {
-                    self.once.errands_changed.notify_one();
+                    self.once.tasks_changed.notify_one();
                     return result;
                 }
             };
@@ -121,7 +121,7 @@
                 (ReplyBody::Refusal { .. }, _) => guard.interrupt(run, now),
             }
         }
-        self.once.errands_changed.notify_one();
+        self.once.tasks_changed.notify_one();
         let settled = async {
             loop {
                 let changed = self.once.settled.notified();
@@ -139,7 +139,7 @@
         let body = match answer.body {
             AnswerBody::Inline(body) => body,
             AnswerBody::Object { name, digest } => {
-                let fetched = self.once.store.get_object(&name, OBJECT_DEADLINE).await;
+                let fetched = self.once.store.get_object(&name, OBJECT_TIMEOUT).await;
                 match fetched {
                     ObjectReply::Found(body) if BodyDigest::of(&body) == digest => body.to_vec(),
                     // It ran, but its answer cannot be had now.
--- a/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
@@ -13,7 +13,7 @@
 use crate::gossip::GossipCommand;
 
 /// How often a leaving node looks whether it is done.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a leaving node distinguishes when it takes calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
         self.announce_leave().await;
         let mut reported = begun;
         while !self.is_drained() {
-            sleep(DRAIN_POLL).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
             self.report_overdue(&mut reported);
         }
         self.introduction.settle().await;
--- a/crates/coltsfoot-node/src/dispatch/guard/run_permit.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/run_permit.rs
@@ -53,10 +53,10 @@
 
     /// Gives the slot back.
     pub fn finish(mut self, finish: CallFinish) {
-        self.give_back(finish);
+        self.release(finish);
     }
 
-    fn give_back(&mut self, finish: CallFinish) {
+    fn release(&mut self, finish: CallFinish) {
         let Some(guard) = self.guard.take() else { return };
         let now = guard.context.now();
         guard.state.with_gate(|gate| gate.finish(now, self.id, finish));
@@ -66,6 +66,6 @@
 
 impl Drop for RunPermit {
     fn drop(&mut self) {
-        self.give_back(CallFinish::Cancelled);
+        self.release(CallFinish::Cancelled);
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/guard/upstream_client.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/upstream_client.rs
@@ -24,7 +24,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// A connection whose upstream has not acknowledged what was sent for so long is given up: on one host that takes
 /// microseconds.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(1_500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Probes without an answer until the connection is given up.
 const KEEPALIVE_RETRIES: u32 = 2;
 /// Time to open a connection to a process on the same host.
@@ -129,11 +129,11 @@
         address: SocketAddr,
         call: UpstreamCall<'_>,
     ) -> Result<UpstreamAnswer, UpstreamError> {
-        let is_passed_on = call.head.is_some();
+        let is_forwarded = call.head.is_some();
         // The parts were checked when the call was read, so the request is well formed.
         let mut request = match call.head {
-            Some(head) => passed_on(address, head),
-            None => self.own_form(address, &call),
+            Some(head) => forwarded_request(address, head),
+            None => self.native_request(address, &call),
         }
         .ok_or(UpstreamError::Unreachable)?;
         let headers = request.headers_mut();
@@ -151,10 +151,14 @@
             poison(&connection);
             return Err(UpstreamError::CutOff);
         }
-        self.read_answer(response, is_passed_on).await
+        self.read_answer(response, is_forwarded).await
     }
 
-    fn own_form(&self, address: SocketAddr, call: &UpstreamCall<'_>) -> Option<UpstreamRequest> {
+    fn native_request(
+        &self,
+        address: SocketAddr,
+        call: &UpstreamCall<'_>,
+    ) -> Option<UpstreamRequest> {
         let mut request = empty_request(Method::POST, address, &call.path)?;
         let headers = request.headers_mut();
         if let Some(context) = &self.dialect.context {
@@ -188,7 +192,7 @@
     async fn read_answer(
         &self,
         response: Response<Incoming>,
-        is_passed_on: bool,
+        is_forwarded: bool,
     ) -> Result<UpstreamAnswer, UpstreamError> {
         let (head, body) = response.into_parts();
         if self.dialect.says_not_run(head.status, &head.headers) {
@@ -197,7 +201,7 @@
         if head.status == StatusCode::MISDIRECTED_REQUEST {
             return Err(UpstreamError::OtherInstance);
         }
-        let is_whole = is_passed_on || states_length(&head.headers, head.status);
+        let is_whole = is_forwarded || delimits_body(&head.headers, head.status);
         if !is_whole || !self.dialect.is_sealed(head.status, &head.headers) {
             return Err(UpstreamError::CutOff);
         }
@@ -209,7 +213,7 @@
         Ok(UpstreamAnswer {
             status: head.status.as_u16(),
             content_type: content_type.unwrap_or_default().to_owned(),
-            headers: if is_passed_on { end_to_end(&head.headers) } else { Vec::new() },
+            headers: if is_forwarded { end_to_end_headers(&head.headers) } else { Vec::new() },
             body: body.to_bytes().to_vec(),
         })
     }
@@ -220,7 +224,7 @@
         connect_timeout: CONNECT_TIMEOUT,
         idle_timeout: Some(IDLE_TIMEOUT),
         keepalive_retries: KEEPALIVE_RETRIES,
-        unacknowledged_time: Some(UNACKNOWLEDGED_TIME),
+        unacknowledged_time: Some(UNACKNOWLEDGED_TIMEOUT),
     };
     settings.client()
 }
@@ -228,12 +232,12 @@
 type UpstreamRequest = Request<Full<Bytes>>;
 
 /// A request to pass on, without its body; `None` if its head is malformed.
-fn passed_on(address: SocketAddr, head: &RequestHead) -> Option<UpstreamRequest> {
+fn forwarded_request(address: SocketAddr, head: &RequestHead) -> Option<UpstreamRequest> {
     let method = Method::from_bytes(head.method.as_bytes()).ok()?;
     let mut request = empty_request(method, address, &head.target)?;
     let headers = request.headers_mut();
     // Filled in place and with room for all: a builder moves itself for each header.
-    headers.reserve(head.headers.len() + OWN_HEADERS);
+    headers.reserve(head.headers.len() + ADDED_HEADERS);
     for line in &head.headers {
         let name = HeaderName::from_bytes(line.name.as_bytes()).ok()?;
         headers.append(name, HeaderValue::from_bytes(&line.value).ok()?);
@@ -249,10 +253,10 @@
 }
 
 /// Headers that the node adds to a request: time left, instance, host and length of the body.
-const OWN_HEADERS: usize = 4;
+const ADDED_HEADERS: usize = 4;
 
 /// Headers that concern one connection only.
-const CONNECTION_HEADERS: [&str; 8] = [
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "content-length",
     "keep-alive",
@@ -264,7 +268,7 @@
 ];
 
 /// The headers that are passed on: all but those of one connection.
-pub fn end_to_end(headers: &HeaderMap) -> Vec<HeaderLine> {
+pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<HeaderLine> {
     let named: Vec<_> = headers
         .get_all(CONNECTION)
         .iter()
@@ -273,7 +277,7 @@
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
     let is_kept = |name: &HeaderName| {
-        !CONNECTION_HEADERS.contains(&name.as_str())
+        !HOP_BY_HOP_HEADERS.contains(&name.as_str())
             && !named.iter().any(|held| held == name.as_str())
     };
     let kept = headers.iter().filter(|(name, _)| is_kept(name));
@@ -288,7 +292,7 @@
 }
 
 /// Whether the end of the body can be told from a cut-off.
-fn states_length(headers: &HeaderMap, status: StatusCode) -> bool {
+fn delimits_body(headers: &HeaderMap, status: StatusCode) -> bool {
     headers.contains_key(CONTENT_LENGTH)
         || headers.contains_key(TRANSFER_ENCODING)
         || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
--- a/crates/coltsfoot-node/src/dispatch/guard/upstream_receipt.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/upstream_receipt.rs
@@ -6,5 +6,5 @@
     /// It was taken in. A leave stays known whatever becomes of this node.
     Acknowledged,
     /// Nothing is promised yet: the table service has not told or taken what it takes. The upstream says it again.
-    NotYet,
+    NotAcknowledged,
 }
--- a/crates/coltsfoot-node/src/dispatch/guard/upstream_run.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/upstream_run.rs
@@ -48,8 +48,8 @@
             return self.refusal(RefusalReason::Deadline, CallOutcome::NotRun);
         }
         let own = call.head.as_ref().and_then(|head| self.upstream_client.context_of(head));
-        let context = self.spans.enter(own, &mut *self.context.rng.borrow_mut(), span.clone());
-        let mut entered = EnteredSpan { guard: self, context, span, answered: false };
+        let context = self.spans.insert(own, &mut *self.context.rng.borrow_mut(), span.clone());
+        let mut running = RunningSpan { guard: self, context, span, answered: false };
         let upstream_call = UpstreamCall {
             head: call.head.as_ref(),
             instance: instance.as_ref().map(InstanceName::as_str),
@@ -65,10 +65,12 @@
         let until = self.context.clock.instant_at(deadline).into();
         let result = timeout_at(until, self.upstream_client.send(address, upstream_call)).await;
         let upstream_time = self.context.now().since(started);
-        entered.answered = result.is_ok();
+        running.answered = result.is_ok();
         match &result {
-            Ok(Ok(_)) => self.note_answered(call, span),
-            Ok(Err(UpstreamError::CutOff)) => self.note_cut(call, span, address, instance.clone()),
+            Ok(Ok(_)) => self.record_answer(call, span),
+            Ok(Err(UpstreamError::CutOff)) => {
+                self.record_interrupted_call(call, span, address, instance.clone())
+            }
             Ok(Err(_)) | Err(_) => {}
         }
         self.note_failure(call, &result, instance, upstream_time);
@@ -136,16 +138,16 @@
 }
 
 /// A call that the upstream works on; dropped before its answer, its nested calls are given up too.
-struct EnteredSpan<'a> {
+struct RunningSpan<'a> {
     guard: &'a CallGuard,
     context: u128,
     span: &'a CallSpan,
     answered: bool,
 }
 
-impl Drop for EnteredSpan<'_> {
+impl Drop for RunningSpan<'_> {
     fn drop(&mut self) {
-        self.guard.spans.leave(self.context, self.span);
+        self.guard.spans.remove(self.context, self.span);
         if !self.answered {
             self.span.cancel();
         }
--- a/crates/coltsfoot-node/src/dispatch/ingress/nested_request.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/nested_request.rs
@@ -13,7 +13,7 @@
 
 use super::{call_ingress::CallIngress, incoming_call::IncomingCall, routed_call::RoutedCall};
 use crate::{
-    dispatch::guard::{CallKind, CallSpan, NestedMark},
+    dispatch::guard::{CallKind, CallSpan, NestedCallTracker},
     http::HttpReply,
 };
 
@@ -48,7 +48,7 @@
 
     /// Serves a call that is nested below `span`.
     pub async fn serve_below(self: &Rc<Self>, call: IncomingCall, span: Rc<CallSpan>) -> CallReply {
-        let mark = NestedMark::begin(span.clone());
+        let tracker = NestedCallTracker::begin(span.clone());
         // A front sees for itself that the caller has gone; an upstream whose work is given up closes its
         // nested calls. Until then they go on: their upstreams are at work.
         let reply = match call.head {
@@ -57,7 +57,7 @@
         };
         span.note_levels(&reply.levels);
         span.note_nested(&reply);
-        mark.end(reply.outcome);
+        tracker.finish(reply.outcome);
         reply
     }
 
