--- a/crates/coltsfoot-node/src/dispatch/guard.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard.rs
@@ -1,4 +1,5 @@
-//! What protects the upstream beside the node: admission, at most once, its lives, and a planned stop.
+//! Protection of the upstream beside the node: admission control, at-most-once execution, tracking of its instances,
+//! and planned stops.
 
 mod call_guard;
 mod calls_in_flight;
--- a/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
@@ -34,67 +34,68 @@
 
 /// Settings of the guard.
 pub struct GuardSettings {
-    /// Headers between node and upstream.
+    /// Headers used between node and upstream.
     pub dialect: UpstreamDialect,
-    /// What the guard's shed level follows.
+    /// Policy that sets the guard's shed level.
     pub shed_policy: ShedPolicy,
-    /// Bound on the retries into the upstream.
+    /// Bound on the retries that reach the upstream.
     pub throttle: ThrottleSettings,
-    /// Most bytes of a body.
+    /// Maximum size of a body, in bytes.
     pub body_limit: usize,
-    /// Most calls waiting in front of the upstream.
+    /// Maximum number of calls queued in front of the upstream.
     pub queue: u32,
-    /// Whether all nodes of the deployment start with this one.
+    /// Whether all nodes of the deployment start together with this one.
     pub first_start: bool,
-    /// How a planned stop goes.
+    /// Settings of a planned stop.
     pub drain: DrainSettings,
-    /// How long a node that is to stop serves on as before, while clients hear that they should not come.
+    /// Time for which a node that is about to stop still serves requests, while it tells clients to close their
+    /// connections.
     pub closing_time: Duration,
-    /// The platform's services.
+    /// Handle to the platform's store.
     pub store: StoreHandle,
-    /// Nodes that share the platform's rates.
+    /// Number of nodes that share the platform's rates.
     pub nodes: u32,
 }
 
-/// Guards the upstream beside the node. Knows nothing of what enters here: calls come to it as requests of
-/// nodes, this one included, and go back as replies.
+/// Guard of the upstream beside the node. It is independent of the ingress: calls reach it as requests from nodes,
+/// including this one, and it returns replies.
 pub struct CallGuard {
     pub(in crate::dispatch) context: Rc<NodeContext>,
     pub(in crate::dispatch) links: Rc<PeerLinks>,
     pub(in crate::dispatch) introduction: Rc<IntroductionDesk>,
-    /// Requests that end their upstreams.
+    /// Quarantine of requests that crash their upstreams.
     pub(super) quarantine: Rc<QuarantineDesk>,
-    /// The upstream, its gate, and the calls that wait at it.
+    /// The upstream, its gate, and the calls that wait for admission.
     pub(in crate::dispatch) state: GuardState,
-    /// Calls that the upstream works on.
+    /// Calls that the upstream is processing.
     pub(in crate::dispatch) spans: CallsInFlight,
     pub(in crate::dispatch) drain: RefCell<DrainState>,
-    /// Woken when an upstream of another service may be beside the node.
+    /// Notified when the service of the upstream beside the node may have changed.
     pub(in crate::dispatch) service_changed: Notify,
-    /// Calls that broke off last, until it is known whether the upstream ended with them.
+    /// The latest interrupted calls, for which it may not be known yet whether the upstream crashed.
     pub(super) interrupted_calls: RefCell<Option<InterruptedCalls>>,
-    /// Requests that the upstream has answered of late.
+    /// Requests that the upstream has answered recently.
     pub(super) answered: RefCell<AnsweredRequests>,
-    /// Bounds the repeats that reach the upstream.
+    /// Bound on the repeats that reach the upstream.
     pub(super) throttle: RefCell<ServiceThrottle>,
-    /// The guards of the same service.
+    /// Other guards of the same service.
     pub(super) guards: RefCell<GuardTracker>,
     pub(super) upstream_client: UpstreamClient,
-    /// Whether a planned stop has been asked for.
+    /// Whether a planned stop has been requested.
     pub(super) is_closing: Cell<bool>,
     pub(super) closing_time: Duration,
-    /// Time between two reports of a planned stop that does not end.
+    /// Time between two reports of an overdue planned stop.
     pub(super) drain_period: Duration,
-    /// Most calls waiting in front of the upstream.
+    /// Maximum number of calls queued in front of the upstream.
     pub(super) queue: u32,
     pub(super) shed_policy: ShedPolicy,
-    /// What keeps non-repeatable work from running twice.
+    /// Claims that keep non-repeatable work from running twice.
     pub(super) once: OnceService,
     next_call: Cell<u64>,
 }
 
 impl CallGuard {
-    /// A guard that knows no upstream yet.
+    /// Creates a guard without an upstream.
     pub fn new(
         context: Rc<NodeContext>,
         links: Rc<PeerLinks>,
@@ -133,20 +134,20 @@
         }
     }
 
-    /// Identity for the next call at the gate, unique in this life of the node.
+    /// Returns an identifier for the next call at the gate, unique within this incarnation of the node.
     pub(super) fn next_id(&self) -> u64 {
         let id = self.next_call.get();
         self.next_call.set(id + 1);
         id
     }
 
-    /// A refusal of a call that ran nowhere, counted.
+    /// Returns a refusal of a call that has not run, and counts it.
     pub fn refuse(&self, importance: Importance, reason: RefusalReason) -> CallReply {
         self.context.metrics.requests.refused(reason, importance);
         self.refusal(reason, CallOutcome::NotRun)
     }
 
-    /// A refusal with a jittered time to come back.
+    /// Returns a refusal with a jittered delay before the caller may retry.
     pub fn refusal(&self, reason: RefusalReason, outcome: CallOutcome) -> CallReply {
         let mut rng = self.context.rng.borrow_mut();
         let after = match reason {
--- a/crates/coltsfoot-node/src/dispatch/guard/calls_in_flight.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/calls_in_flight.rs
@@ -1,4 +1,4 @@
-//! The calls that the upstream beside the node works on, found by the context it was given.
+//! The calls that the upstream beside the node is processing, looked up by the context sent with each.
 
 use std::{
     cell::{Cell, OnceCell, RefCell},
@@ -22,10 +22,10 @@
 
 use crate::dispatch::context::CallContent;
 
-/// Admission levels kept for one call at most; the most severe stay.
+/// Maximum number of admission levels kept for one call; the most severe are kept.
 const MAX_LEVELS: usize = 16;
 
-/// What nested calls inherit from the call that the upstream works on.
+/// A call that the upstream is processing, with the properties that its nested calls inherit.
 pub struct CallSpan {
     /// Client request.
     pub request: RequestId,
@@ -33,32 +33,31 @@
     pub importance: Importance,
     /// Deadline of the call, on this node's clock.
     pub deadline: MonotonicTime,
-    /// Node that keeps the retry account.
+    /// Node that holds the retry account.
     pub account: Option<NodeId>,
     /// Hash of the client.
     pub client: u64,
-    /// Team whose client request it is.
+    /// Team that sent the client request.
     pub team: Option<TeamName>,
     /// Whether the call, or one above it, is not the first attempt.
     pub is_repeat: bool,
-    /// What the call asks for, once somebody has wanted to know: a hash over the whole body.
+    /// Fingerprint of the call, computed on first use because it hashes the whole body.
     fingerprint: OnceCell<RequestFingerprint>,
     /// Whether a nested call may have reached an upstream.
     nested_ran: Cell<bool>,
-    /// Whether a nested call ended without being served, where a further run of the call above would fare no
-    /// better.
+    /// Whether a nested call failed in a way that a further run of this call would not avoid.
     failed_below: Cell<bool>,
-    /// Nested calls that have no outcome yet.
+    /// Number of nested calls without an outcome yet.
     nested_open: Cell<u32>,
-    /// Whether the call was given up before its answer was complete.
+    /// Whether the call was cancelled before its answer was complete.
     cancelled: Cell<bool>,
     cancellation: Notify,
-    /// Levels of the services below, to travel back with the reply. At most [`MAX_LEVELS`].
+    /// Admission levels of the services called below, which are returned with the reply. At most [`MAX_LEVELS`].
     levels: RefCell<Vec<LevelNote>>,
 }
 
 impl CallSpan {
-    /// A span without nested calls.
+    /// Creates a span without nested calls.
     pub fn new(
         request: RequestId,
         importance: Importance,
@@ -84,45 +83,46 @@
         }
     }
 
-    /// Says whose client request it is.
+    /// Sets the team that sent the client request.
     pub fn with_team(self, team: Option<TeamName>) -> Self {
         Self { team, ..self }
     }
 
-    /// Says whether the call, or one above it, is not the first attempt.
+    /// Sets whether the call, or one above it, is not the first attempt.
     pub fn with_repeat(self, is_repeat: bool) -> Self {
         Self { is_repeat, ..self }
     }
 
-    /// The fingerprint of the call, which has `content`.
+    /// Returns the fingerprint of the call, whose content is `content`.
     pub fn fingerprint(&self, content: CallContent<'_>) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| content.fingerprint())
     }
 
-    /// Whether a nested call has reached an upstream or may yet; then the call itself has run in part.
+    /// Returns whether a nested call has reached an upstream or still may; in that case the call itself has run in
+    /// part.
     pub fn may_have_nested(&self) -> bool {
         self.nested_ran.get() || self.nested_open.get() > 0
     }
 
-    /// Whether a nested call was not served, whatever was tried for it.
+    /// Returns whether a nested call failed in a way that a further run of this call would not avoid.
     pub fn has_failed_below(&self) -> bool {
         self.failed_below.get()
     }
 
-    /// Takes note of how a nested call ended.
+    /// Records the outcome of a nested call.
     pub fn note_nested(&self, reply: &CallReply) {
         if reply.outcome != CallOutcome::Completed && !is_fault_of_node(reply) {
             self.failed_below.set(true);
         }
     }
 
-    /// The call is given up: nobody waits for its nested calls any more.
+    /// Cancels the call, and with it its nested calls.
     pub fn cancel(&self) {
         self.cancelled.set(true);
         self.cancellation.notify_waiters();
     }
 
-    /// Waits until the call is given up; for ever if it ends with its answer.
+    /// Waits until the call is cancelled; never returns if the call completes.
     pub async fn cancelled(&self) {
         let cancellation = self.cancellation.notified();
         if !self.cancelled.get() {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Keeps `notes`, each in place of an older note of the same guard.
+    /// Records `notes`; each replaces an older note of the same guard and service.
     pub fn note_levels(&self, notes: &[LevelNote]) {
         let mut levels = self.levels.borrow_mut();
         for note in notes {
@@ -141,14 +141,14 @@
         levels.truncate(MAX_LEVELS);
     }
 
-    /// The levels noted so far.
+    /// Returns the recorded levels.
     pub fn levels(&self) -> Vec<LevelNote> {
         self.levels.borrow().clone()
     }
 }
 
-/// Whether the nested call failed for what the node beside the upstream lacks: another node may have it. Nobody has
-/// an upstream of a service that has gone.
+/// Returns whether the nested call failed because its node lacks an upstream or a configuration, or is leaving: another
+/// node may succeed. This excludes a service that has gone: no node has an upstream of it.
 fn is_fault_of_node(reply: &CallReply) -> bool {
     let has_gone = reply.levels.iter().any(|note| note.level == ShedLevel::MAX);
     !has_gone
@@ -160,20 +160,20 @@
         )
 }
 
-/// A nested call under way; dropped without [`NestedCallTracker::finish`] it may have run.
+/// A nested call in progress. If dropped without [`NestedCallTracker::finish`], the call counts as possibly run.
 pub struct NestedCallTracker {
     span: Rc<CallSpan>,
     ran: bool,
 }
 
 impl NestedCallTracker {
-    /// Marks a nested call of `span` as under way.
+    /// Counts a nested call of `span` as in progress.
     pub fn begin(span: Rc<CallSpan>) -> Self {
         span.nested_open.set(span.nested_open.get() + 1);
         Self { span, ran: true }
     }
 
-    /// The nested call has ended.
+    /// Records the outcome of the nested call.
     pub fn finish(mut self, outcome: CallOutcome) {
         self.ran = outcome != CallOutcome::NotRun;
     }
@@ -187,30 +187,30 @@
     }
 }
 
-/// The calls that the upstream works on, by their context.
+/// The calls that the upstream is processing, by their context.
 ///
-/// A context is random, so that it cannot be guessed, or made of the request's identity where nobody but
-/// the upstream and the clients of its host can reach the node; it is known only while its call is in flight.
+/// A context is random, so that it cannot be guessed. Where only the upstream and the clients of its host can reach the
+/// node, it is derived from the request's identity instead. It is valid only while its call is in flight.
 #[derive(Default)]
 pub struct CallsInFlight {
     spans: RefCell<IndexMap<u128, Rc<CallSpan>>>,
 }
 
 impl CallsInFlight {
-    /// Enters a call under its context, drawn at random where it has none of its own, and returns it.
+    /// Inserts a call under its own context, or under a random one if it has none, and returns the context.
     pub fn insert(&self, own: Option<u128>, rng: &mut impl Rng, span: Rc<CallSpan>) -> u128 {
         let context = own.unwrap_or_else(|| rng.random::<u128>());
         self.spans.borrow_mut().insert(context, span);
         context
     }
 
-    /// The call of a context as the upstream sent it back.
+    /// Returns the call of a context that the upstream has sent back; `None` if it is malformed or not in flight.
     pub fn find(&self, context: &str) -> Option<Rc<CallSpan>> {
         let context = u128::from_str_radix(context, 16).ok()?;
         self.spans.borrow().get(&context).cloned()
     }
 
-    /// Forgets a call that has ended, unless a later one has taken its context.
+    /// Removes a call that has ended, unless a later call uses the same context.
     pub fn remove(&self, context: u128, span: &CallSpan) {
         let mut spans = self.spans.borrow_mut();
         if spans.get(&context).is_some_and(|held| std::ptr::eq(&**held, span)) {
@@ -219,7 +219,7 @@
     }
 }
 
-/// The context's form in the header.
+/// Formats a context as a header value.
 pub fn context_text(context: u128) -> String {
     format!("{context:032x}")
 }
--- a/crates/coltsfoot-node/src/dispatch/guard/claim_tasks.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/claim_tasks.rs
@@ -1,4 +1,4 @@
-//! What claims owe the store, and what peers ask about them.
+//! Store tasks of claims, and queries between peers about the state of claims.
 
 use std::{rc::Rc, time::Duration};
 
@@ -23,13 +23,13 @@
     metrics::ControlKind,
 };
 
-/// Longest wait for the holder of a claim to say what became of it.
+/// Timeout of a query to the holder of a claim.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Rows that a sweep reads at a time.
+/// Number of rows that a sweep reads per request.
 const SWEEP_PAGE: usize = 100;
 
 impl CallGuard {
-    /// Sends what claims owe the store, each as a task of its own.
+    /// Runs the store tasks of claims as they become due, each in its own local task.
     pub async fn run_store_tasks(self: Rc<Self>) {
         loop {
             let task = self.once.guard.borrow_mut().next_task(self.context.now());
@@ -62,7 +62,7 @@
         self.once.tasks_changed.notify_one();
     }
 
-    /// Shrinks the records whose retention has ended, now and then.
+    /// Periodically shrinks the records whose retention has expired.
     pub async fn sweep_records(self: Rc<Self>) {
         loop {
             sleep(self.context.jittered(self.once.sweep_period)).await;
@@ -78,13 +78,13 @@
                 self.once.store.request(request, STORE_TASK_TIMEOUT, StoreUse::Answer).await;
             match sweeper.on_reply(&reply) {
                 SweepStep::Send(next) => request = next,
-                // Objects without a record cost room only; the store client has no delete yet.
+                // Objects without a record only cost space; the store client has no delete yet.
                 SweepStep::Done { .. } => return,
             }
         }
     }
 
-    /// Asks the holder of a claim what became of it.
+    /// Queries the holder of a claim for its state.
     pub(super) async fn query_holder(&self, holder: ClaimHolder, claim: ClaimId) -> HolderView {
         if holder.node == self.context.identity.node {
             return self.local_holder_view(holder, claim);
@@ -121,7 +121,7 @@
         })
     }
 
-    /// What became of a claim of this life of the node.
+    /// Returns the state of a claim of this incarnation of the node.
     pub fn claim_state(&self, claim: RequestId) -> ClaimState {
         match self.once.guard.borrow().holder_answer(ClaimId(claim.0)) {
             HolderAnswer::NotMine => ClaimState::NotMine,
--- a/crates/coltsfoot-node/src/dispatch/guard/crash_detection.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/crash_detection.rs
@@ -1,7 +1,8 @@
-//! How the guard finds that the upstream beside it has ended unplanned.
+//! Detection of crashes of the upstream beside the node.
 //!
-//! A call that breaks off says little: answers get lost, garbled, cut. The upstream has ended if its address refuses
-//! connections just after, or if another life of it announces itself. One that says that it leaves ends as planned.
+//! An interrupted call alone doesn't prove a crash: answers can get lost, garbled or truncated. The upstream has
+//! crashed if its address refuses connections shortly afterwards, or if another instance of it announces itself. An
+//! upstream that has announced its leave terminates as planned.
 
 use std::{io::ErrorKind, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -20,21 +21,24 @@
 };
 use crate::dispatch::context::CallContent;
 
-/// Calls that break off within so long of the first belong to one end: a process closes its connections at once.
+/// Time after the first interrupted call within which further ones belong to the same crash: a process that terminates
+/// closes all its connections together.
 const INTERRUPTION_WINDOW: Duration = Duration::from_millis(500);
-/// Pauses before the connections that ask whether the upstream is still there. The listener of a process that ends may
-/// outlast its connections for a moment.
+/// Delays before the connection attempts that test whether the upstream still listens. The listener of a process that
+/// terminates may outlast its connections for a moment.
 const PROBE_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(50), Duration::from_millis(250)];
-/// Time to open a connection to a process on the same host.
+/// Timeout for opening a connection to a process on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// An upstream that is back under another name so soon has ended when its calls broke off.
+/// Time after an interrupted call within which the announcement of another instance proves that the previous one
+/// crashed.
 const RESTART_WINDOW: Duration = Duration::from_secs(10);
-/// Time in which all calls that broke off with the upstream have been noted: they end in the same round of events.
+/// Delay until all calls interrupted by a crash are recorded: their connections close in the same iteration of the
+/// event loop.
 const GATHER_DELAY: Duration = Duration::from_millis(5);
 
 impl CallGuard {
-    /// A call has broken off at the life `instance` of the upstream at `address`.
+    /// Records a call that was interrupted at `instance` of the upstream at `address`, and starts the test for a crash.
     pub(super) fn record_interrupted_call(
         self: &Rc<Self>,
         call: &CallRequest,
@@ -78,14 +82,15 @@
         tokio::task::spawn_local(self.clone().probe_for_crash(crash, address));
     }
 
-    /// The upstream has answered a call, whatever it says: the call did not end it.
+    /// Records that the upstream has answered a call, with any status: the call did not crash it.
     pub(super) fn record_answer(self: &Rc<Self>, call: &CallRequest, span: &CallSpan) {
         let content = call_content(call);
         self.answered.borrow_mut().record(self.context.now(), &content.parts());
         self.quarantine.note_answer(|| span.fingerprint(content));
     }
 
-    /// Another life of the upstream has announced itself.
+    /// Concludes a crash if an instance other than the one with interrupted calls announces itself within
+    /// [`RESTART_WINDOW`].
     pub(super) fn note_new_instance(self: &Rc<Self>, instance: Option<&InstanceName>) {
         let now = self.context.now();
         let crash = self.interrupted_calls.borrow().as_ref().and_then(|calls| {
@@ -113,7 +118,7 @@
         let interrupted = {
             let mut open = self.interrupted_calls.borrow_mut();
             let Some(calls) = open.as_mut().filter(|calls| calls.crash == crash) else { return };
-            // It may have said meanwhile that it leaves.
+            // The upstream may have announced its leave in the meantime.
             if std::mem::replace(&mut calls.has_crashed, true) || self.has_withdrawn() {
                 return;
             }
@@ -143,7 +148,7 @@
     }
 }
 
-/// What a call asks for.
+/// Returns the content of a call, from which its fingerprint is computed.
 pub(super) fn call_content(call: &CallRequest) -> CallContent<'_> {
     CallContent {
         service: &call.service,
@@ -154,7 +159,8 @@
     }
 }
 
-/// Whether nobody listens at `address`. Any other failure, such as want of descriptors, says nothing of the upstream.
+/// Returns whether `address` refuses connections. Any other failure, such as a lack of file descriptors, says nothing
+/// about the upstream.
 async fn refuses_connections(address: SocketAddr) -> bool {
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(err)) if err.kind() == ErrorKind::ConnectionRefused)
--- a/crates/coltsfoot-node/src/dispatch/guard/gate_maintenance.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/gate_maintenance.rs
@@ -1,4 +1,4 @@
-//! The gate in front of the upstream: its making, its wake-ups, its numbers.
+//! Creation, timers and gauges of the admission gate in front of the upstream.
 
 use std::rc::Rc;
 
@@ -10,16 +10,16 @@
 
 use super::call_guard::CallGuard;
 
-/// An upstream whose slots are announced and that rejects with half of them free has a fault, not a lack of
-/// room.
+/// Smallest share of the slots to which the limit decreases: an upstream that rejects calls while half of its announced
+/// slots are free has a fault and not a lack of capacity.
 const MIN_DECREASE_SHARE: f64 = 0.5;
 
-/// Slots of each hundred that stay free: upstreams are known to slow down when they are nearly full, from 95 in
-/// use on, by a third, which costs more than the slots bring.
+/// Percentage of the slots that stays free: upstreams are known to slow down by a third from 95% use on, which costs
+/// more throughput than the slots add.
 const FREE_SLOT_PERCENT: u32 = 6;
 
 impl CallGuard {
-    /// Creates the gate, or adapts it to what the upstream says of itself.
+    /// Creates the gate, or adapts it to the number of slots that the upstream announces.
     pub(super) fn configure_gate(&self, slots: u32) {
         let now = self.context.now();
         let fresh = self.state.gate.borrow().is_none();
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Wakes the gate when a queued call expires.
+    /// Runs the timer of the gate, which expires queued calls.
     pub async fn tick_gate(self: Rc<Self>) {
         loop {
             let wakeup = self.state.gate.borrow().as_ref().and_then(AdmissionGate::next_wakeup);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Copies the gate's numbers into the metrics.
+    /// Updates the gauges of the gate's load and limit.
     pub fn report_gauges(&self) {
         let gate = self.state.gate.borrow();
         let Some(gate) = gate.as_ref() else { return };
@@ -67,7 +67,7 @@
         self.report_limit(gate.limit());
     }
 
-    /// Reports a changed limit. Looked at with the gauges: the limit may move with each call.
+    /// Reports a changed limit. Runs with the gauges and not on each change, since the limit may change with each call.
     fn report_limit(&self, limit: u32) {
         let previous = self.state.reported_limit.replace(limit);
         if previous == limit || previous == 0 {
--- a/crates/coltsfoot-node/src/dispatch/guard/guard_state.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/guard_state.rs
@@ -1,4 +1,4 @@
-//! State of the guard: the upstream beside the node, its gate, and the calls that wait at it.
+//! State of the guard: the upstream beside the node, its gate, and the calls that wait for admission.
 
 use std::cell::{Cell, RefCell};
 
@@ -14,14 +14,14 @@
 
 /// The upstream beside the node, as announced.
 pub struct GuardedUpstream {
-    /// What it said of itself last.
+    /// Latest announcement of the upstream.
     pub announcement: UpstreamAnnouncement,
-    /// Whether it has fallen silent.
+    /// Detector of missing heartbeats.
     pub heartbeats: HeartbeatWatch,
-    /// Whether it leaves, or its node does: no new work.
+    /// Whether the upstream or its node is leaving: no new work is accepted.
     pub leaving: bool,
-    /// Whether it has said itself that it leaves, or fallen silent: also work taken in before that is
-    /// not dispatched any more. A leave of the node alone lets such work run.
+    /// Whether the upstream has announced its leave itself, or its heartbeats have stopped: work accepted before is not
+    /// dispatched any more either. If only the node leaves, such work still runs.
     pub has_withdrawn: bool,
 }
 
@@ -29,36 +29,36 @@
 #[derive(Default)]
 pub struct GuardState {
     pub(in crate::dispatch) upstream: RefCell<Option<GuardedUpstream>>,
-    /// Lives of the upstream, where it names them.
+    /// Instances of the upstream, if it names them.
     pub(in crate::dispatch) instances: RefCell<InstanceTracker>,
     pub(in crate::dispatch) gate: RefCell<Option<AdmissionGate>>,
     /// Calls offered to the gate that have no verdict yet.
     pub(in crate::dispatch) waiting: RefCell<IndexMap<u64, oneshot::Sender<AdmissionDecision>>>,
     pub(in crate::dispatch) breaches: RefCell<BreachCounter>,
-    /// Limit of the gate that was reported last, 0 before the first.
+    /// Limit of the gate that was reported last; 0 before the first report.
     pub(in crate::dispatch) reported_limit: Cell<u32>,
-    /// Woken when the gate's next wake-up may have changed.
+    /// Notified when the gate's next wake-up time may have changed.
     pub(in crate::dispatch) queue_changed: Notify,
 }
 
 impl GuardState {
-    /// Hands verdicts to the calls that wait for them.
+    /// Delivers verdicts to the calls that wait for them.
     pub(in crate::dispatch) fn deliver(&self, verdicts: Vec<AdmissionVerdict>) {
         for verdict in verdicts {
             let waiter = self.waiting.borrow_mut().swap_remove(&verdict.id);
             if let Some(waiter) = waiter {
-                // A caller that is gone has withdrawn its call from the gate, or is about to.
+                // If the receiver is gone, its permit withdraws the call from the gate.
                 let _ = waiter.send(verdict.decision);
             }
         }
     }
 
-    /// Level of the gate; open while there is none.
+    /// Returns the shed level of the gate; [`ShedLevel::OPEN`] without a gate.
     pub(in crate::dispatch) fn level(&self, now: MonotonicTime) -> ShedLevel {
         self.gate.borrow().as_ref().map_or(ShedLevel::OPEN, |gate| gate.shed_level(now))
     }
 
-    /// Lets the gate act, and hands out what it decides.
+    /// Applies `act` to the gate, if any, and delivers the resulting verdicts.
     pub(in crate::dispatch) fn with_gate(
         &self,
         act: impl FnOnce(&mut AdmissionGate) -> Vec<AdmissionVerdict>,
--- a/crates/coltsfoot-node/src/dispatch/guard/guarded_call.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/guarded_call.rs
@@ -1,4 +1,4 @@
-//! What a call for the upstream beside the node passes before it runs.
+//! Checks and admission of a call for the upstream beside the node.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
 use crate::border::RepeatGuard;
 
 impl CallGuard {
-    /// Serves a call for the upstream beside the node.
+    /// Checks a call for the upstream beside the node, waits for its admission and runs it.
     pub async fn guard_call(self: &Rc<Self>, call: CallRequest) -> CallReply {
         let arrived = self.context.now();
         let deadline = arrived + call.remaining;
@@ -68,7 +68,7 @@
                 return self.refuse_guarded(&call, reason);
             }
         };
-        // What was let in may have waited while others learnt of it.
+        // While the admitted call was queued, the quarantine of its request may have started.
         if let Some(wait) = self.claim_trial_or_delay(&call, span).await {
             self.refund_repeat(&call);
             return self.refuse_quarantined(&call, wait);
@@ -77,8 +77,8 @@
         if repeatable {
             return self.run(&call, deadline, span, permit).await;
         }
-        // A run that must not be repeated goes on when its caller is gone: half of it would help nobody, and
-        // under a key its answer is kept. It counts as in flight until then.
+        // A run that must not be repeated continues if its caller disconnects: a partial run is of no use, and with an
+        // idempotency key the answer is stored. The run counts as in flight until it ends.
         let (guard, span) = (self.clone(), span.clone());
         let run = async move {
             let _started = started;
@@ -95,17 +95,20 @@
         }
     }
 
-    /// Whether the call may reach the upstream by the bound on repeats. All callers share the bound here, so that none
-    /// is left with the part of it that its own few calls have earned.
+    /// Acquires a token from the bound on repeats if the call is a retry; returns whether the call may reach the
+    /// upstream. All callers share the bound, so that a caller with few calls is not limited to the tokens that those
+    /// have earned.
     fn try_acquire_repeat(&self, call: &CallRequest) -> bool {
-        // The uncontrolled half of a measurement retries at each hop, bounded by its policy.
+        // With control switched off, as in the uncontrolled part of a measurement, retries at each hop are bounded only
+        // by their policy.
         if !call.is_retry || !self.context.control.is_on() {
             return true;
         }
         self.throttle.borrow_mut().try_retry(self.context.now(), call.importance)
     }
 
-    /// The members of a service: those of the own one bound its repeats as this guard does.
+    /// Updates the known guards if `members` belong to the upstream's own service: each of them bounds the repeats of
+    /// the service in the same way.
     pub fn note_members(&self, service: &ServiceName, members: &[MemberRecord]) {
         let upstream = self.state.upstream.borrow();
         let is_own =
@@ -116,8 +119,9 @@
         }
     }
 
-    /// Counts a first attempt that is admitted, which earns a share of a repeat. One that a full guard refuses is asked
-    /// of others, and must not earn at each. Below work that is run again it is a repeat as well.
+    /// Counts an admitted first attempt, which earns a share of a token for repeats. An attempt that a full guard
+    /// refuses is sent to other guards, and would earn a share at each if refused attempts counted. A first attempt
+    /// nested below repeated work is charged as a repeat too.
     fn count_first_attempt(&self, call: &CallRequest) {
         if call.is_retry {
             return;
@@ -130,14 +134,15 @@
         }
     }
 
-    /// A repeat that was granted has not reached the upstream.
+    /// Refunds the token of a granted repeat that has not reached the upstream.
     fn refund_repeat(&self, call: &CallRequest) {
         if call.is_retry {
             self.throttle.borrow_mut().refund(self.context.now(), call.importance);
         }
     }
 
-    /// A refusal of a call that did not reach the upstream, counted and told with the state of the gate.
+    /// Refuses a call that did not reach the upstream; counts the refusal and emits an event with the state of the
+    /// gate.
     fn refuse_guarded(&self, call: &CallRequest, reason: RefusalReason) -> CallReply {
         let gate = self.state.gate.borrow();
         let load = gate.as_ref().map(|gate| (gate.in_flight(), gate.limit(), gate.queued()));
@@ -163,7 +168,7 @@
         }
     }
 
-    /// Whether the operation may run again.
+    /// Returns whether the operation is repeatable, or the reason to refuse the call.
     fn check_operation(&self, call: &CallRequest) -> Result<bool, RefusalReason> {
         let config = self.context.config.in_force();
         let operation = config
@@ -171,7 +176,7 @@
             .map_err(|reason| *reason)
             .and_then(|config| config.operation(&call.service, &call.operation));
         match (self.context.repeat_guard, operation) {
-            // The caller has checked the call by its configuration, which may be newer than this node's.
+            // The caller has checked the call against its configuration, which may be newer than this node's.
             (RepeatGuard::Attempts, operation) => {
                 Ok(operation.is_ok_and(|operation| operation.repeatable))
             }
@@ -247,7 +252,7 @@
         });
     }
 
-    /// Reports a refusal for overload that is out of the order of importance.
+    /// Reports that a call was refused for overload although a less important one was admitted.
     fn report_breach(&self, call: &CallRequest, admitted: Importance) {
         self.context.metrics.requests.importance_breached();
         self.context.events.emit(EventKind::ImportanceBreached {
--- a/crates/coltsfoot-node/src/dispatch/guard/interrupted_calls.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/interrupted_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that broke off, until it is known whether their upstream ended with them.
+//! Interrupted calls, kept until it is known whether their upstream crashed.
 
 use std::net::SocketAddr;
 
@@ -9,36 +9,36 @@
     time::MonotonicTime,
 };
 
-/// A call that broke off.
+/// A call whose connection broke before the answer was complete.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InterruptedCall {
     pub(super) request: RequestId,
     pub(super) fingerprint: RequestFingerprint,
-    /// Whether the same request was answered here of late.
+    /// Whether this node has recently seen an answer to the same request.
     pub(super) answered: bool,
 }
 
-/// Calls of one life of the upstream that broke off at about the same time.
+/// Calls to one instance of the upstream that were interrupted at about the same time.
 #[derive(Clone, Debug)]
 pub(super) struct InterruptedCalls {
-    /// The end of the upstream, if it is one.
+    /// Identity of the crash, should the upstream prove to have crashed.
     pub(super) crash: CrashId,
-    /// Where the upstream listened.
+    /// Address at which the upstream listened.
     pub(super) address: SocketAddr,
-    /// Its life, if it names itself.
+    /// Name of the instance, if the upstream names its instances.
     pub(super) instance: Option<InstanceName>,
-    /// When the first broke off.
+    /// Time of the first interruption.
     pub(super) since: MonotonicTime,
-    /// The calls. Invariant: at most [`MAX_SUSPECTS`].
+    /// The calls to report as suspects. Invariant: at most [`MAX_SUSPECTS`].
     pub(super) calls: Vec<InterruptedCall>,
-    /// All of them, those left out too.
+    /// Number of all interrupted calls, including those beyond [`MAX_SUSPECTS`].
     pub(super) count: u32,
-    /// Whether the upstream is known to have ended.
+    /// Whether the upstream is known to have crashed.
     pub(super) has_crashed: bool,
 }
 
 impl InterruptedCalls {
-    /// Adds a call; returns whether it is among those told.
+    /// Adds a call; returns whether it is among the calls to report.
     pub(super) fn add(&mut self, call: InterruptedCall) -> bool {
         self.count += 1;
         let is_reported = self.calls.len() < MAX_SUSPECTS;
--- a/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream beside the node: announcements, leave, silence.
+//! Announcements, heartbeats, leave and silence of the upstream beside the node.
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
 };
 
 impl CallGuard {
-    /// Takes in an announcement, the first or a heartbeat.
+    /// Handles an announcement of the upstream, either its first or a heartbeat.
     pub async fn announce_upstream(
         self: &Rc<Self>,
         announcement: UpstreamAnnouncement,
@@ -58,8 +58,8 @@
         HttpReply::json(StatusCode::OK, &serde_json::json!({ "revision": self.context.revision() }))
     }
 
-    /// The upstream says that it takes no new work: only its leave is passed on, and a node that has not
-    /// heard of it before learns who it is.
+    /// Handles a heartbeat that says that the upstream accepts no new work. Only its leave is announced to other nodes;
+    /// an upstream that this node does not know yet is recorded first.
     async fn note_leaving(&self, announcement: UpstreamAnnouncement) {
         let is_known = self
             .state
@@ -81,7 +81,7 @@
         self.withdraw_upstream().await;
     }
 
-    /// Whether the announcement says anything new.
+    /// Stores the announcement; returns whether it differs from the previous one, or the upstream was leaving.
     fn store_announcement(&self, announcement: &UpstreamAnnouncement) -> bool {
         let mut upstream = self.state.upstream.borrow_mut();
         let same = upstream
@@ -96,7 +96,7 @@
         !same
     }
 
-    /// The upstream leaves: nothing is dispatched to it from now on.
+    /// Withdraws the upstream: nothing is dispatched to it any more, and its leave is announced.
     pub async fn withdraw_upstream(&self) -> HttpReply {
         if let Some(upstream) = self.state.upstream.borrow_mut().as_mut() {
             upstream.has_withdrawn = true;
@@ -105,7 +105,7 @@
         HttpReply::json(StatusCode::OK, &serde_json::json!({ "leaving": true }))
     }
 
-    /// Takes no new work for the upstream from now on, and tells everyone.
+    /// Stops accepting new work for the upstream, and announces its leave to the other nodes.
     pub async fn announce_leave(&self) {
         let left = self.mark_leaving();
         if let Some(left) = left {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Whether the next life of this node shall take the upstream up again: it is the node that stops.
+    /// Returns whether the next incarnation of this node should resume the upstream, because only the node stops.
     fn is_resumable(&self) -> bool {
         let upstream = self.state.upstream.borrow();
         self.upstream_client.checks_instance()
@@ -136,8 +136,8 @@
         })
     }
 
-    /// The host was suspended: the upstream is given time to be heard again, and queued calls that have run out of theirs
-    /// are looked at.
+    /// Handles a suspension of the host: restarts the time allowed for the next heartbeat, and wakes the gate for
+    /// queued calls that have expired.
     pub fn note_suspension(&self) {
         let now = self.context.now();
         if let Some(upstream) = self.state.upstream.borrow_mut().as_mut() {
@@ -146,7 +146,7 @@
         self.state.queue_changed.notify_one();
     }
 
-    /// Takes an upstream that has fallen silent as gone.
+    /// Withdraws the upstream if its heartbeats have stopped.
     pub async fn notice_silence(&self) {
         let now = self.context.now();
         let silent = self
@@ -161,13 +161,13 @@
         }
     }
 
-    /// Service of the upstream beside the node that was heard of last.
+    /// Returns the service of the upstream that was announced last; `None` if there was none.
     pub fn service(&self) -> Option<ServiceName> {
         Some(self.state.upstream.borrow().as_ref()?.announcement.service.clone())
     }
 
-    /// Takes in a heartbeat of an upstream that names its lives. Returns once no new work reaches one that
-    /// leaves.
+    /// Handles a heartbeat of an upstream that names its instances. For a leaving one, returns once no new work reaches
+    /// it.
     pub async fn handle_heartbeat(
         self: &Rc<Self>,
         heartbeat: UpstreamHeartbeat,
@@ -176,7 +176,7 @@
             return self.handle_draining_heartbeat(heartbeat).await;
         }
         let UpstreamHeartbeat { announcement, instance, sequence, .. } = heartbeat;
-        // A late one must not bring back what the life before this one has seen off.
+        // A late heartbeat must not bring back an instance whose leave the previous incarnation of this node recorded.
         if !self.introduction.await_resumed().await {
             return self.not_acknowledged(instance.name, false);
         }
@@ -190,7 +190,7 @@
         let UpstreamHeartbeat { announcement, instance, sequence, .. } = heartbeat;
         match self.record_heartbeat(&instance, sequence) {
             HeartbeatVerdict::Fresh => self.note_leaving(announcement).await,
-            // An older word of an upstream that serves since changes nothing, and nothing is promised for it.
+            // A stale message of an upstream that has served since changes nothing, and is not acknowledged.
             HeartbeatVerdict::Stale if !self.is_upstream_leaving() => {
                 return self.not_acknowledged(instance.name, true);
             }
@@ -213,16 +213,16 @@
         self.state.upstream.borrow().as_ref().is_some_and(|upstream| upstream.leaving)
     }
 
-    /// The instance has left, or is about to: nothing is dispatched to it from now on. A leave that does not say of which
-    /// life it is speaks of all until now.
+    /// Handles the leave of an instance: nothing is dispatched to it any more. A leave without a start time applies to
+    /// all instances of that name started until now.
     pub async fn handle_leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
         let until = instance.started.unwrap_or_else(|| StartTime(wall_millis()));
         let left = self.leave_instance(instance.clone().with_started(Some(until))).await;
-        // The life that was heard may say when it began where its leave does not.
+        // The instance's heartbeats may contain the start time that its leave lacks.
         self.persist_leave(left.unwrap_or(instance)).await
     }
 
-    /// Takes in a leave; returns the present life if it is that one.
+    /// Records a leave; returns the current instance if it is the one that leaves.
     async fn leave_instance(&self, instance: InstanceIncarnation) -> Option<InstanceIncarnation> {
         let present = self.state.instances.borrow().current().cloned();
         if !self.state.instances.borrow_mut().leave(&instance) {
@@ -232,8 +232,9 @@
         present
     }
 
-    /// Acknowledges a leave once the node's row tells of it, which outlasts this node and all others. Until then the upstream
-    /// gets no new work either, and asks again. A life before the present one needs no row: no restart takes it up.
+    /// Acknowledges a leave once the node's row records it, since the row survives this node and all others. Until then
+    /// the upstream receives no new work either, and repeats its request. The leave of an instance before the current
+    /// one needs no row: no restart resumes that instance.
     async fn persist_leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
         let present = self.state.instances.borrow().current().cloned();
         if present.is_some_and(|present| present != instance) {
@@ -251,8 +252,8 @@
         UpstreamReceipt::NotAcknowledged
     }
 
-    /// Takes the upstream up again that the life before this one guarded: its next heartbeat may be seconds
-    /// away. Another instance at its address refuses what is not meant for it.
+    /// Resumes the upstream that the previous incarnation of this node guarded, because its next heartbeat may be
+    /// seconds away. Another instance at its address refuses calls that are not meant for it.
     pub async fn resume_upstream(self: Rc<Self>) {
         match self.introduction.read_row().await {
             Some(UpstreamRow::Serving(announcement)) => self.resume_serving(announcement).await,
--- a/crates/coltsfoot-node/src/dispatch/guard/once_run.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/once_run.rs
@@ -1,4 +1,4 @@
-//! Runs of operations that must not be repeated: claim, dispatch, answer.
+//! Execution of non-repeatable operations: claim of the key, dispatch, record of the answer.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,13 +24,13 @@
 };
 use crate::clock::wall_millis;
 
-/// Pause before a key whose record is about to move on is looked at again.
+/// Delay before a claim is tried again on a key whose record is about to change.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time to fetch a large answer.
+/// Timeout for fetching a large answer from the object store.
 const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl CallGuard {
-    /// Claims the call's key, then runs the call, or says what became of the run before.
+    /// Claims the call's key, then runs the call, or replies with the answer or state of the earlier run.
     pub(super) async fn run_once(
         self: &Rc<Self>,
         call: &CallRequest,
@@ -89,7 +89,7 @@
             let time = deadline.since(self.context.now());
             let reply = self.once.store.request(request, time, StoreUse::Claim).await;
             let next = self.once.guard.borrow_mut().on_reply(claim_id, &reply, self.context.now());
-            // Claims are never cancelled here, so the guard always knows this one.
+            // Claims are not cancelled during this loop, so the guard always knows this claim.
             step = next.unwrap_or(ClaimStep::Done(ClaimResult::Interrupted));
         }
     }
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Stores how a run ended. The caller's answer waits for the record, up to a bound.
+    /// Stores the result of a run. The caller's answer is delayed until the record is stored, for at most
+    /// `answer_wait`.
     async fn settle_run(&self, run: ClaimRun, reply: &CallReply) {
         let claim_id = run.claim_id();
         let now = self.context.now();
@@ -131,7 +132,7 @@
                 changed.await;
             }
         };
-        // Past the bound the record is stored in the background; a repeat finds the run here.
+        // After the timeout the record is stored in the background; a repeat finds the run at this node.
         let _ = timeout(self.once.answer_wait, settled).await;
     }
 
@@ -142,7 +143,7 @@
                 let fetched = self.once.store.get_object(&name, OBJECT_TIMEOUT).await;
                 match fetched {
                     ObjectReply::Found(body) if BodyDigest::of(&body) == digest => body.to_vec(),
-                    // It ran, but its answer cannot be had now.
+                    // The operation ran, but its answer is not available now.
                     _ => {
                         return self.refusal(RefusalReason::StoreUnavailable, CallOutcome::Unknown);
                     }
--- a/crates/coltsfoot-node/src/dispatch/guard/once_service.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/once_service.rs
@@ -1,4 +1,4 @@
-//! The claims of this node: what must be stored or released.
+//! Claims of this node, and the store tasks that record or release them.
 
 use std::{cell::RefCell, time::Duration};
 
@@ -10,26 +10,26 @@
 
 use crate::store::StoreHandle;
 
-/// Time for one errand to the store.
+/// Timeout of one request of a store task.
 pub(super) const STORE_TASK_TIMEOUT: Duration = Duration::from_secs(2);
-/// All nodes together sweep about once in so long.
+/// Average time between two sweeps, over all nodes together.
 const SWEEP_PERIOD: Duration = Duration::from_secs(60);
 
 /// The claims of this node.
 pub struct OnceService {
     pub(super) guard: RefCell<OnceGuard>,
     pub(super) store: StoreHandle,
-    /// Woken when an errand may have come up.
+    /// Notified when a store task may be due.
     pub(super) tasks_changed: Notify,
-    /// Woken when a claim was settled in the table.
+    /// Notified when a claim was settled in the table.
     pub(super) settled: Notify,
-    /// Longest time that a caller's answer waits for its record.
+    /// Longest time that a caller's answer is delayed until its record is stored.
     pub(super) answer_wait: Duration,
     pub(super) sweep_period: Duration,
 }
 
 impl OnceService {
-    /// No claims yet; `nodes` is the number of nodes that share the sweeping.
+    /// Creates a service without claims; `nodes` is the number of nodes that share the sweeps.
     pub fn new(holder: ClaimHolder, store: StoreHandle, nodes: u32) -> Self {
         let settings = OnceSettings::default();
         Self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Asks the store what a claim owes it.
+    /// Sends the request of a store task, and returns the reply.
     pub async fn carry_out(&self, request: TaskRequest) -> TaskReply {
         match request {
             TaskRequest::Table(request) => TaskReply::Table(
--- a/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Calls in flight, and the planned stop that waits for them.
+//! Counting of calls in flight, and the planned stop that waits for them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,17 +12,17 @@
 use super::call_guard::CallGuard;
 use crate::gossip::GossipCommand;
 
-/// How often a leaving node looks whether it is done.
+/// Interval at which a leaving node checks whether it is drained.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a leaving node distinguishes when it takes calls.
+/// Kind of a call, by which a leaving node decides whether to accept it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// A client's request, to be routed from here.
+    /// A client's request, to be routed from this node.
     Client,
     /// A call for the upstream beside the node.
     Guarded,
-    /// A call nested below work under way beside the node.
+    /// A nested call of work in progress on the upstream beside the node.
     Nested,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl CallGuard {
-    /// Counts a call as in flight; `None` if a leaving node no longer takes its kind.
+    /// Counts a call as in flight; `None` if a leaving node no longer accepts its kind.
     pub fn start_call(self: &Rc<Self>, kind: CallKind) -> Option<StartedCall> {
         let mut drain = self.drain.borrow_mut();
         let decision = match kind {
@@ -49,18 +49,18 @@
         (decision == StartDecision::Started).then(|| StartedCall { guard: self.clone() })
     }
 
-    /// Whether a planned stop has been asked for.
+    /// Returns whether a planned stop has been requested.
     pub fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
 
-    /// A planned stop: refuse new work, tell everyone, end when nothing is in flight.
+    /// Performs a planned stop: rejects new work, announces the leave, and signals `done` once nothing is in flight.
     pub async fn leave(self: Rc<Self>, done: oneshot::Sender<()>) {
-        // The upstream stays in service as long as clients still come here: leaving earlier would only take
-        // its slots away from everyone.
+        // The upstream stays in service while clients still send requests here: leaving earlier would only withdraw
+        // its slots from all nodes.
         self.is_closing.set(true);
         if self.closing_time > Duration::ZERO {
-            // Others turn to it only where no other upstream takes a call.
+            // After this, other nodes use this upstream only if no other upstream accepts a call.
             self.context.tell_gossip(GossipCommand::Leave).await;
             sleep(self.closing_time).await;
         }
@@ -81,13 +81,13 @@
         let _ = done.send(());
     }
 
-    /// Whether a leaving node may stop.
+    /// Returns whether a leaving node may stop.
     fn is_drained(&self) -> bool {
         self.drain.borrow().phase(self.context.now()) == DrainPhase::Drained
     }
 
-    /// Reports what keeps a planned stop from its end, once in each period. Nothing is cut off: whoever
-    /// stops the process decides.
+    /// Reports, once in each period, the calls in flight that delay a planned stop. No call is cancelled: that is left
+    /// to whoever stops the process.
     fn report_overdue(&self, reported: &mut MonotonicTime) {
         let now = self.context.now();
         let Some(DrainReport { in_flight, waited }) = self.drain.borrow().overdue(now) else {
--- a/crates/coltsfoot-node/src/dispatch/guard/quarantine_check.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/quarantine_check.rs
@@ -1,4 +1,4 @@
-//! Calls that are not let through to the upstream, since the same has ended upstreams before.
+//! Check of calls against the quarantine: requests that have crashed upstreams before are rejected.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,7 +9,7 @@
 use crate::dispatch::links::HeldCall;
 
 impl CallGuard {
-    /// How long the call is held back; `None` if it may go on, if only as a trial.
+    /// Returns the time for which the call is quarantined; `None` if it may proceed, possibly only as a trial.
     pub(super) fn quarantine_delay(&self, call: &CallRequest, span: &CallSpan) -> Option<Duration> {
         let fingerprint = || span.fingerprint(call_content(call));
         match self.quarantine.judge(call.request, fingerprint)? {
@@ -18,7 +18,8 @@
         }
     }
 
-    /// The same just before the call is sent, when a trial that is due is claimed.
+    /// Checks again just before the call is sent, and claims a trial that is due. Returns the time for which the call
+    /// is quarantined; `None` if it may be sent.
     pub(super) async fn claim_trial_or_delay(
         &self,
         call: &CallRequest,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Refuses a call that is held back; its caller may ask again after `wait`.
+    /// Refuses a quarantined call; its caller may retry after `wait`.
     pub(super) fn refuse_quarantined(
         self: &Rc<Self>,
         call: &CallRequest,
--- a/crates/coltsfoot-node/src/dispatch/guard/run_permit.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/run_permit.rs
@@ -1,4 +1,4 @@
-//! A call's place at the gate, given back however the call ends.
+//! Permits for a call's queue entry and slot at the gate, released when dropped.
 
 use std::rc::Rc;
 
@@ -6,19 +6,19 @@
 
 use super::call_guard::CallGuard;
 
-/// A call that waits for the gate's verdict; dropping it withdraws the call.
+/// A call that waits for the gate's verdict. Dropping the permit withdraws the call.
 pub struct WaitPermit {
     guard: Option<Rc<CallGuard>>,
     id: u64,
 }
 
 impl WaitPermit {
-    /// The call `id`, just about to be offered.
+    /// Creates a permit for the call `id`, which is about to be offered to the gate.
     pub fn new(guard: Rc<CallGuard>, id: u64) -> Self {
         Self { guard: Some(guard), id }
     }
 
-    /// The gate has let the call run.
+    /// Converts the permit once the gate has admitted the call.
     pub fn into_run(mut self) -> RunPermit {
         RunPermit { guard: self.guard.take(), id: self.id }
     }
@@ -31,7 +31,7 @@
         let id = self.id;
         guard.state.waiting.borrow_mut().swap_remove(&id);
         guard.state.with_gate(|gate| {
-            // The verdict may have been on its way: then the call holds a slot already.
+            // If the verdict was already sent, the call holds a slot, which is released here.
             let mut verdicts = gate.cancel(now, id);
             verdicts.extend(gate.finish(now, id, CallFinish::Cancelled));
             verdicts
@@ -39,19 +39,19 @@
     }
 }
 
-/// A slot of the upstream; dropping it without [`RunPermit::finish`] counts as cancelled.
+/// A slot of the upstream. Dropping the permit without [`RunPermit::finish`] counts the call as cancelled.
 pub struct RunPermit {
     guard: Option<Rc<CallGuard>>,
     id: u64,
 }
 
 impl RunPermit {
-    /// A permit where no gate is in force.
+    /// Creates a permit for a call that bypasses the gate.
     pub fn without_gate() -> Self {
         Self { guard: None, id: 0 }
     }
 
-    /// Gives the slot back.
+    /// Releases the slot.
     pub fn finish(mut self, finish: CallFinish) {
         self.release(finish);
     }
--- a/crates/coltsfoot-node/src/dispatch/guard/upstream_client.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/upstream_client.rs
@@ -19,47 +19,47 @@
     http::{OutgoingClient, OutgoingSettings},
 };
 
-/// An idle connection is closed after this, well before an upstream would close it (5 s and more are usual):
-/// a call that crosses the upstream's close may have run.
+/// Time after which an idle connection is closed, well before an upstream would close it (usually after 5 s or more):
+/// if the upstream closes a connection while a call is being sent, the call may have run.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A connection whose upstream has not acknowledged what was sent for so long is given up: on one host that takes
+/// Time after which a connection with unacknowledged data is closed: on one host an acknowledgement takes
 /// microseconds.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Probes without an answer until the connection is given up.
+/// Number of unanswered keep-alive probes after which the connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
-/// Time to open a connection to a process on the same host.
+/// Timeout for opening a connection to a process on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The upstream gave no usable answer.
+/// Reason why the upstream gave no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum UpstreamError {
-    /// No connection could be made: the upstream never saw the call.
+    /// No connection could be made: the upstream has not received the call.
     #[error("cannot connect to the upstream")]
     Unreachable,
     /// The upstream refused the call before it did any work on it.
     #[error("the upstream sheds load")]
     Shed,
-    /// Another instance than the expected one has the address; it did no work on the call.
+    /// An instance other than the expected one uses the address; it did no work on the call.
     #[error("another instance has the upstream's address")]
     OtherInstance,
-    /// The answer was cut off, oversized, that to another call or not the upstream's own.
+    /// The answer was truncated, too large, meant for another call or not sent by the upstream itself.
     #[error("the upstream's answer is not complete")]
     CutOff,
 }
 
 /// One call to the upstream.
 pub struct UpstreamCall<'a> {
-    /// Head of a request to pass on; `None`: a call in the product's own form.
+    /// Head of a request to forward; `None` for a call in the native format.
     pub head: Option<&'a RequestHead>,
-    /// Path with service and operation, in the product's own form.
+    /// Path with service and operation, for a call in the native format.
     pub path: String,
     /// Context for the upstream's nested calls.
     pub context: String,
     /// Remaining time in milliseconds.
     pub remaining_ms: u64,
-    /// Instance that alone may run the call, if it names itself.
+    /// The only instance that may run the call, if the upstream names its instances.
     pub instance: Option<&'a str>,
-    /// Team whose client request it is.
+    /// Team that sent the client request.
     pub team: Option<&'a str>,
     /// Idempotency key.
     pub key: Option<&'a str>,
@@ -76,16 +76,16 @@
     pub status: u16,
     /// Media type.
     pub content_type: String,
-    /// Headers to pass on; empty for a call in the product's own form.
+    /// Headers to forward; empty for a call in the native format.
     pub headers: Vec<HeaderLine>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// Keeps the connections to the upstream.
+/// HTTP client with a pool of connections to the upstream.
 pub struct UpstreamClient {
-    /// Replaced after a suspension, which idle connections may not have outlasted: the upstream closes them by its own
-    /// time, and a call that crosses its close may have run.
+    /// Replaced after a suspension of the host, because the upstream may be closing the idle connections by its own
+    /// clock: a call sent while it closes a connection may have run.
     client: RefCell<OutgoingClient>,
     clock: MonotonicClock,
     suspensions: RefCell<SuspensionDetector>,
@@ -94,13 +94,13 @@
 }
 
 impl UpstreamClient {
-    /// A client that takes answers of at most `body_limit` bytes.
+    /// Creates a client that accepts answers with a body of at most `body_limit` bytes.
     pub fn new(clock: MonotonicClock, body_limit: usize, dialect: UpstreamDialect) -> Self {
         let client = RefCell::new(new_client());
         Self { client, clock, suspensions: RefCell::default(), body_limit, dialect }
     }
 
-    /// The connections to use now.
+    /// Returns the client to use, replaced if the host was suspended since the last call.
     fn client(&self) -> OutgoingClient {
         if self.suspensions.borrow_mut().detect(self.clock.suspended()).is_some() {
             *self.client.borrow_mut() = new_client();
@@ -108,22 +108,22 @@
         self.client.borrow().clone()
     }
 
-    /// The context of a request that is passed on, if it bears an identity.
+    /// Returns the context of a forwarded request; `None` if it has no identity.
     pub fn context_of(&self, head: &RequestHead) -> Option<u128> {
         self.dialect.context_of(head)
     }
 
-    /// Whether the upstream refuses calls that are meant for another life of it.
+    /// Returns whether the upstream refuses calls meant for another instance of it.
     pub fn checks_instance(&self) -> bool {
         self.dialect.checks_instance()
     }
 
-    /// Sends `call` and reads the whole answer. Dropping the future closes the connection, which
-    /// tells the upstream to stop.
+    /// Sends `call` and reads the whole answer. Dropping the future closes the connection, which signals the upstream
+    /// to cancel its work.
     ///
     /// # Errors
     ///
-    /// [`UpstreamError`] unless a complete answer came.
+    /// Returns an [`UpstreamError`] unless a complete answer was received.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -147,7 +147,7 @@
             if err.is_connect() { UpstreamError::Unreachable } else { UpstreamError::CutOff }
         })?;
         if identity.as_ref() != self.dialect.identity(response.headers()) {
-            // What else comes on this connection belongs to nobody.
+            // Further answers on this connection could not be matched to their calls.
             poison(&connection);
             return Err(UpstreamError::CutOff);
         }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Says whose request it is, in place of whatever the caller has said of it.
+    /// Sets the header with the team of the request, and removes any value that the caller has set.
     fn set_team(&self, headers: &mut HeaderMap, call: &UpstreamCall<'_>) {
         let Some(name) = &self.dialect.team else { return };
         headers.remove(name);
@@ -231,12 +231,12 @@
 
 type UpstreamRequest = Request<Full<Bytes>>;
 
-/// A request to pass on, without its body; `None` if its head is malformed.
+/// Builds a request to forward, without its body; `None` if its head is malformed.
 fn forwarded_request(address: SocketAddr, head: &RequestHead) -> Option<UpstreamRequest> {
     let method = Method::from_bytes(head.method.as_bytes()).ok()?;
     let mut request = empty_request(method, address, &head.target)?;
     let headers = request.headers_mut();
-    // Filled in place and with room for all: a builder moves itself for each header.
+    // Filled in place with reserved capacity: a builder would be moved for each header.
     headers.reserve(head.headers.len() + ADDED_HEADERS);
     for line in &head.headers {
         let name = HeaderName::from_bytes(line.name.as_bytes()).ok()?;
@@ -252,10 +252,10 @@
     Some(request)
 }
 
-/// Headers that the node adds to a request: time left, instance, host and length of the body.
+/// Number of headers that the node adds to a request: remaining time, instance, host and length of the body.
 const ADDED_HEADERS: usize = 4;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to a single connection and are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "content-length",
@@ -267,7 +267,7 @@
     "upgrade",
 ];
 
-/// The headers that are passed on: all but those of one connection.
+/// Returns the headers to forward: all but the hop-by-hop headers and those named by `Connection`.
 pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<HeaderLine> {
     let named: Vec<_> = headers
         .get_all(CONNECTION)
@@ -284,14 +284,14 @@
     kept.map(|(name, value)| HeaderLine::new(name.as_str(), value.as_bytes())).collect()
 }
 
-/// Keeps a connection from being used again.
+/// Marks a connection as not reusable.
 fn poison(connection: &CaptureConnection) {
     if let Some(connected) = connection.connection_metadata().as_ref() {
         connected.poison();
     }
 }
 
-/// Whether the end of the body can be told from a cut-off.
+/// Returns whether the end of the body can be told from a truncation.
 fn delimits_body(headers: &HeaderMap, status: StatusCode) -> bool {
     headers.contains_key(CONTENT_LENGTH)
         || headers.contains_key(TRANSFER_ENCODING)
--- a/crates/coltsfoot-node/src/dispatch/guard/upstream_heartbeat.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/upstream_heartbeat.rs
@@ -7,12 +7,12 @@
 /// A heartbeat of the upstream beside the node.
 #[derive(Clone, Debug)]
 pub struct UpstreamHeartbeat {
-    /// What it says of itself.
+    /// Announcement of the upstream.
     pub announcement: UpstreamAnnouncement,
-    /// Its life.
+    /// Instance of the upstream.
     pub instance: InstanceIncarnation,
-    /// Rises with each heartbeat of a life.
+    /// Sequence number, which increases with each heartbeat of an instance.
     pub sequence: u64,
-    /// Whether it takes no new work any more.
+    /// Whether the upstream accepts no new work any more.
     pub is_leaving: bool,
 }
--- a/crates/coltsfoot-node/src/dispatch/guard/upstream_receipt.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/upstream_receipt.rs
@@ -1,10 +1,11 @@
-//! What the upstream beside the node is told of its word.
+//! Reply of the node to a heartbeat or leave of the upstream.
 
-/// What the upstream beside the node is told of its word.
+/// Reply of the node to a heartbeat or leave of the upstream beside it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamReceipt {
-    /// It was taken in. A leave stays known whatever becomes of this node.
+    /// The message was accepted. An acknowledged leave is stored durably and survives this node.
     Acknowledged,
-    /// Nothing is promised yet: the table service has not told or taken what it takes. The upstream says it again.
+    /// The message is not acknowledged, because the required read or write of the table service has not succeeded. The
+    /// upstream sends it again.
     NotAcknowledged,
 }
--- a/crates/coltsfoot-node/src/dispatch/guard/upstream_run.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/upstream_run.rs
@@ -1,4 +1,4 @@
-//! The run of an admitted call on the upstream beside the node.
+//! Execution of an admitted call on the upstream beside the node.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -23,11 +23,11 @@
 };
 use crate::clock::micros;
 
-/// First status of answers that say that the upstream failed.
+/// Lowest HTTP status that reports a failure of the upstream.
 const FIRST_SERVER_ERROR: u16 = 500;
 
 impl CallGuard {
-    /// Runs a call on the upstream. Dropping the future stops the upstream's work.
+    /// Runs a call on the upstream. Dropping the future cancels the upstream's work.
     pub(super) async fn run(
         self: &Rc<Self>,
         call: &CallRequest,
@@ -39,11 +39,11 @@
             permit.finish(CallFinish::Failed);
             return self.refusal(RefusalReason::NoUpstream, CallOutcome::NotRun);
         };
-        // The wait for a slot or a claim may have been long.
+        // The upstream may have left while the call waited for a slot or a claim.
         if self.has_withdrawn() {
             return self.refusal(RefusalReason::Leaving, CallOutcome::NotRun);
         }
-        // So may a suspension of the host: a timer that it held up still runs.
+        // The deadline may have passed while the host was suspended: the call's timer can still be pending then.
         if self.context.now() >= deadline {
             return self.refusal(RefusalReason::Deadline, CallOutcome::NotRun);
         }
@@ -84,7 +84,7 @@
         CallReply { reached_upstream, ..self.run_reply(result, span, upstream_time) }
     }
 
-    /// Tells the journal why the upstream's answer cannot be used.
+    /// Emits an event with the reason why the upstream's answer cannot be used, if it cannot.
     fn note_failure(
         &self,
         call: &CallRequest,
@@ -117,7 +117,7 @@
             Err(UpstreamError::Unreachable | UpstreamError::OtherInstance) => {
                 (RefusalReason::NoUpstream, false)
             }
-            // An upstream that made nested calls has run the request in part, whatever it says.
+            // An upstream that made nested calls has run the request in part, even if it reports that it shed the call.
             Err(UpstreamError::Shed) => (RefusalReason::Overload, span.may_have_nested()),
             Err(UpstreamError::CutOff) => (RefusalReason::UpstreamFailed, true),
         };
@@ -131,13 +131,13 @@
         Some((announcement.address, announcement.instance.clone()))
     }
 
-    /// Whether the upstream has said that it leaves, or fallen silent.
+    /// Returns whether the upstream has announced its leave, or its heartbeats have stopped.
     pub(super) fn has_withdrawn(&self) -> bool {
         self.state.upstream.borrow().as_ref().is_some_and(|upstream| upstream.has_withdrawn)
     }
 }
 
-/// A call that the upstream works on; dropped before its answer, its nested calls are given up too.
+/// A call that the upstream is processing. If dropped before the answer, its nested calls are cancelled too.
 struct RunningSpan<'a> {
     guard: &'a CallGuard,
     context: u128,
@@ -154,7 +154,8 @@
     }
 }
 
-/// A complete answer that says that the upstream failed leaves open how far the run came.
+/// Returns the outcome of a complete answer with `status`. It is unknown for a server error, which doesn't say how far
+/// the run got.
 pub(super) fn answer_outcome(status: u16) -> CallOutcome {
     if status >= FIRST_SERVER_ERROR { CallOutcome::Unknown } else { CallOutcome::Completed }
 }
