--- a/crates/coltsfoot-node/src/dispatch/guard/gate_maintenance.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/gate_maintenance.rs
@@ -10,8 +10,8 @@
 
 use super::call_guard::CallGuard;
 
-/// Smallest share of the slots to which the limit decreases: an upstream that rejects calls while half of its announced
-/// slots are free has a fault and not a lack of capacity.
+/// Smallest share of the slots that must be in use for a rejection to lower the limit: an upstream that announces its
+/// slots and rejects calls while half of them are free has a fault and not a lack of capacity.
 const MIN_DECREASE_SHARE: f64 = 0.5;
 
 /// Percentage of the slots that stays free: upstreams are known to slow down by a third from 95% use on, which costs
