--- a/crates/coltsfoot-node/src/border.rs
+++ b/crates/coltsfoot-node/src/border.rs
@@ -2,11 +2,11 @@
 //! is told in headers, how the platform's services are reached, who accepts configurations.
 
 mod client_front;
-mod node_border;
+mod platform_adapter;
 mod repeat_guard;
 mod upstream_dialect;
 
 pub use client_front::{ClientFront, NoFront};
-pub use node_border::NodeBorder;
+pub use platform_adapter::PlatformAdapter;
 pub use repeat_guard::RepeatGuard;
-pub use upstream_dialect::{NotRunMark, UpstreamDialect, request_context};
+pub use upstream_dialect::{NotRunMarker, UpstreamDialect, request_context};
--- a/crates/coltsfoot-node/src/border/node_border.rs
+++ b/crates/coltsfoot-node/src/border/platform_adapter.rs
@@ -12,7 +12,7 @@
 };
 
 /// What varies of a node from platform to platform.
-pub struct NodeBorder<P, F> {
+pub struct PlatformAdapter<P, F> {
     /// Makes the way to the platform's services, on the thread that uses it.
     pub open_store: fn(&StoreSettings, Arc<NodeMetrics>) -> P,
     /// Serves clients; `None`: the product's own listener does.
@@ -27,7 +27,7 @@
     pub shed_policy: ShedPolicy,
 }
 
-impl NodeBorder<HttpClient, NoFront> {
+impl PlatformAdapter<HttpClient, NoFront> {
     /// The product's own interface on every side.
     pub fn own() -> Self {
         Self {
--- a/crates/coltsfoot-node/src/border/upstream_dialect.rs
+++ b/crates/coltsfoot-node/src/border/upstream_dialect.rs
@@ -12,7 +12,7 @@
 
 /// How an upstream says that it has not run a call.
 #[derive(Clone, Debug)]
-pub struct NotRunMark {
+pub struct NotRunMarker {
     /// Header that says so.
     pub header: HeaderName,
     /// Value that it needs to have; `None`: any.
@@ -35,7 +35,7 @@
     /// To the upstream: the instance that alone may run the call.
     pub expected_instance: Option<HeaderName>,
     /// Answer: the call has not run.
-    pub not_run: NotRunMark,
+    pub not_run: NotRunMarker,
     /// Answer: repeats the value that the call had under this name; another value is the answer to another
     /// call.
     pub echo: Option<HeaderName>,
@@ -57,7 +57,7 @@
             key: Some(HeaderName::from_static(IDEMPOTENCY_KEY_HEADER)),
             team: Some(HeaderName::from_static(TEAM_HEADER)),
             expected_instance: None,
-            not_run: NotRunMark {
+            not_run: NotRunMarker {
                 header: HeaderName::from_static(OUTCOME_HEADER),
                 value: Some(CallOutcome::NotRun.as_str()),
                 status: Some(StatusCode::SERVICE_UNAVAILABLE),
--- a/crates/coltsfoot-node/src/dispatch/context.rs
+++ b/crates/coltsfoot-node/src/dispatch/context.rs
@@ -8,7 +8,8 @@
 
 pub use call_fingerprint::CallContent;
 pub use control_traffic::{
-    CLAIM_BYTES, CREDIT_BYTES, GRANT_BYTES, SINCE_BYTES, TAKE_BYTES, WORD_BYTES,
+    CLAIM_REQUEST_BYTES, CONFIG_REQUEST_BYTES, CREDIT_REQUEST_BYTES, CREDIT_RESPONSE_BYTES,
+    TOKEN_REQUEST_BYTES, WORD_BYTES,
 };
 pub use node_context::NodeContext;
 pub use node_identity::NodeIdentity;
--- a/crates/coltsfoot-node/src/dispatch/context/node_context.rs
+++ b/crates/coltsfoot-node/src/dispatch/context/node_context.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64;
 use tokio::sync::{mpsc, oneshot};
 
-use super::{NodeIdentity, clock_drift::DriftReport};
+use super::{NodeIdentity, clock_drift::DriftReportLimiter};
 use crate::{
     border::RepeatGuard,
     clock::MonotonicClock,
@@ -43,7 +43,7 @@
     /// Random generator of the duty, seeded once. Never borrowed across an await.
     pub rng: RefCell<Pcg64>,
     /// When clocks that disagree were last reported.
-    pub(in crate::dispatch) drift: DriftReport,
+    pub(in crate::dispatch) drift: DriftReportLimiter,
 }
 
 impl NodeContext {
@@ -63,14 +63,14 @@
     }
 
     /// What the gossip duty knows; `None` if it is gone.
-    pub async fn ask_gossip(&self) -> Option<MembershipStatus> {
+    pub async fn membership_status(&self) -> Option<MembershipStatus> {
         let (reply, status) = oneshot::channel();
         self.gossip.send(GossipCommand::Status(reply)).await.ok()?;
         status.await.ok()
     }
 
     /// Sends a command to the gossip duty. A closed ring means that the process stops: nobody is left to tell.
-    pub async fn tell_gossip(&self, command: GossipCommand) {
+    pub async fn send_gossip_command(&self, command: GossipCommand) {
         let _ = self.gossip.send(command).await;
     }
 
--- a/crates/coltsfoot-node/src/dispatch/guard/claim_tasks.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/claim_tasks.rs
@@ -19,7 +19,7 @@
 use super::{call_guard::CallGuard, once_service::STORE_TASK_TIMEOUT};
 use crate::{
     clock::wall_millis,
-    dispatch::context::{CLAIM_BYTES, WORD_BYTES},
+    dispatch::context::{CLAIM_REQUEST_BYTES, WORD_BYTES},
     metrics::ControlKind,
 };
 
@@ -110,7 +110,7 @@
         let (high, low) = split_id(RequestId(claim.0));
         request.get().set_claim_high(high);
         request.get().set_claim_low(low);
-        self.context.count_asked(ControlKind::Claim, CLAIM_BYTES, WORD_BYTES);
+        self.context.count_sent_request(ControlKind::Claim, CLAIM_REQUEST_BYTES, WORD_BYTES);
         let response = request.send().promise.await.ok()?;
         let state = read_claim_state(response.get().ok()?.get_state()).ok()?;
         Some(match state {
--- a/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
@@ -51,7 +51,7 @@
                 slots: announcement.slots,
                 connections: announcement.connections,
             });
-            self.context.tell_gossip(command).await;
+            self.context.send_gossip_command(command).await;
             self.introduction.want(&announcement);
             self.service_changed.notify_one();
         }
@@ -113,7 +113,7 @@
             if !self.is_resumable() {
                 self.introduction.retract();
             }
-            self.context.tell_gossip(GossipCommand::Leave).await;
+            self.context.send_gossip_command(GossipCommand::Leave).await;
         }
     }
 
--- a/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/planned_stop.rs
@@ -61,7 +61,7 @@
         self.is_closing.set(true);
         if self.closing_time > Duration::ZERO {
             // After this, other nodes use this upstream only if no other upstream accepts a call.
-            self.context.tell_gossip(GossipCommand::Leave).await;
+            self.context.send_gossip_command(GossipCommand::Leave).await;
             sleep(self.closing_time).await;
         }
         let begun: MonotonicTime = self.context.now();
--- a/crates/coltsfoot-node/src/dispatch/ingress/pool_watch.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/pool_watch.rs
@@ -82,7 +82,7 @@
         let now = self.context.now();
         if let Some((watched_since, was_cold)) = self.note_use(service, now) {
             if was_cold {
-                self.context.tell_gossip(GossipCommand::Touch(service.clone())).await;
+                self.context.send_gossip_command(GossipCommand::Touch(service.clone())).await;
             }
             return watched_since;
         }
@@ -125,7 +125,7 @@
             true => GossipCommand::Reached(service.clone()),
             false => GossipCommand::Unreached(service.clone()),
         };
-        self.context.tell_gossip(command).await;
+        self.context.send_gossip_command(command).await;
     }
 
     fn is_news(&self, service: &ServiceName, reached: bool) -> bool {
@@ -155,7 +155,7 @@
 
     async fn send_watches(&self) {
         let services = self.pools.borrow().keys().cloned().collect();
-        self.context.tell_gossip(GossipCommand::Watch(services)).await;
+        self.context.send_gossip_command(GossipCommand::Watch(services)).await;
     }
 
     /// Takes in the members of a watched service.
--- a/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
@@ -14,7 +14,7 @@
 use super::{call_ingress::CallIngress, routed_call::RoutedCall};
 use crate::{
     dispatch::{
-        context::{TAKE_BYTES, WORD_BYTES},
+        context::{TOKEN_REQUEST_BYTES, WORD_BYTES},
         links::TokenAnswer,
     },
     metrics::ControlKind,
@@ -135,7 +135,7 @@
         take.get().set_request_high(high);
         take.get().set_request_low(low);
         take.get().set_take_id(take_id);
-        self.context.count_asked(ControlKind::Account, TAKE_BYTES, WORD_BYTES);
+        self.context.count_sent_request(ControlKind::Account, TOKEN_REQUEST_BYTES, WORD_BYTES);
         match take.send().promise.await {
             Ok(response) => {
                 let response = response.get().ok()?;
--- a/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
@@ -18,7 +18,7 @@
 use super::{call_ingress::CallIngress, team_quota::TeamQuota};
 use crate::{
     dispatch::{
-        context::{CREDIT_BYTES, GRANT_BYTES},
+        context::{CREDIT_REQUEST_BYTES, CREDIT_RESPONSE_BYTES},
         links::CreditWish,
     },
     metrics::ControlKind,
@@ -194,7 +194,11 @@
         take.get().set_team(team.as_str());
         take.get().set_wanted(wish.wanted);
         take.get().set_used(wish.used);
-        self.context.count_asked(ControlKind::Quota, CREDIT_BYTES, GRANT_BYTES);
+        self.context.count_sent_request(
+            ControlKind::Quota,
+            CREDIT_REQUEST_BYTES,
+            CREDIT_RESPONSE_BYTES,
+        );
         let Ok(response) = take.send().promise.await else {
             self.links.failed(owner, &link);
             return None;
--- a/crates/coltsfoot-node/src/dispatch/links/config_pull.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/config_pull.rs
@@ -7,7 +7,7 @@
 
 use super::{PeerLinks, peer_links::PeerLink};
 use crate::{
-    dispatch::context::{NodeContext, SINCE_BYTES},
+    dispatch::context::{CONFIG_REQUEST_BYTES, NodeContext},
     metrics::ControlKind,
 };
 
@@ -35,6 +35,6 @@
     request.get().set_revision(since);
     let response = request.send().promise.await.ok()?;
     let delta = response.get().ok()?.get_delta().ok()?.to_vec();
-    context.count_asked(ControlKind::Configuration, SINCE_BYTES, delta.len());
+    context.count_sent_request(ControlKind::Configuration, CONFIG_REQUEST_BYTES, delta.len());
     Some(delta)
 }
--- a/crates/coltsfoot-node/src/dispatch/links/node_finder.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/node_finder.rs
@@ -57,9 +57,9 @@
         let found = store.scan(&mut scan).await;
         let asked = IntroductionScan::sample_by_service(&mut *context.rng.borrow_mut(), &found);
         let nodes = found.into_iter().map(|introduced| introduced.node).collect();
-        context.tell_gossip(GossipCommand::Introduce(nodes)).await;
+        context.send_gossip_command(GossipCommand::Introduce(nodes)).await;
         for of_service in asked {
-            context.tell_gossip(GossipCommand::Ask(of_service)).await;
+            context.send_gossip_command(GossipCommand::Ask(of_service)).await;
         }
         sleep(context.jittered(pause)).await;
         if has_joined(&context).await {
@@ -71,5 +71,5 @@
 
 async fn has_joined(context: &NodeContext) -> bool {
     // Without the gossip duty the process stops: there is nothing to join.
-    context.ask_gossip().await.is_none_or(|status| status.joined)
+    context.membership_status().await.is_none_or(|status| status.joined)
 }
--- a/crates/coltsfoot-node/src/dispatch/links/peer_server.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/peer_server.rs
@@ -23,7 +23,8 @@
 };
 use crate::{
     dispatch::context::{
-        CLAIM_BYTES, CREDIT_BYTES, GRANT_BYTES, SINCE_BYTES, TAKE_BYTES, WORD_BYTES,
+        CLAIM_REQUEST_BYTES, CONFIG_REQUEST_BYTES, CREDIT_REQUEST_BYTES, CREDIT_RESPONSE_BYTES,
+        TOKEN_REQUEST_BYTES, WORD_BYTES,
     },
     metrics::ControlKind,
 };
@@ -55,7 +56,11 @@
         let token = self.handler.take_token(request, params.get_take_id());
         results.get().set_answer(write_take_answer(token.answer));
         results.get().set_remaining(token.remaining);
-        self.handler.context().count_answered(ControlKind::Account, TAKE_BYTES, WORD_BYTES);
+        self.handler.context().count_received_request(
+            ControlKind::Account,
+            TOKEN_REQUEST_BYTES,
+            WORD_BYTES,
+        );
         Ok(())
     }
 
@@ -66,7 +71,11 @@
     ) -> Result<(), Error> {
         let delta = self.handler.context().config_since(params.get()?.get_revision())?;
         results.get().set_delta(&delta);
-        self.handler.context().count_answered(ControlKind::Configuration, SINCE_BYTES, delta.len());
+        self.handler.context().count_received_request(
+            ControlKind::Configuration,
+            CONFIG_REQUEST_BYTES,
+            delta.len(),
+        );
         Ok(())
     }
 
@@ -80,7 +89,11 @@
         let heard = news.wire_bytes() + WORD_BYTES;
         let reply = self.handler.hear_quarantine(news, params.get_wants_all());
         write_quarantine_news(&reply, results.get().init_news());
-        self.handler.context().count_answered(ControlKind::Quarantine, heard, reply.wire_bytes());
+        self.handler.context().count_received_request(
+            ControlKind::Quarantine,
+            heard,
+            reply.wire_bytes(),
+        );
         Ok(())
     }
 
@@ -103,7 +116,11 @@
             answer.set_wait_micros(u32::try_from(wait.as_micros()).unwrap_or(u32::MAX));
             answer.set_share_milli(share_milli);
         }
-        self.handler.context().count_answered(ControlKind::Quota, CREDIT_BYTES, GRANT_BYTES);
+        self.handler.context().count_received_request(
+            ControlKind::Quota,
+            CREDIT_REQUEST_BYTES,
+            CREDIT_RESPONSE_BYTES,
+        );
         Ok(())
     }
 
@@ -115,7 +132,11 @@
         let params = params.get()?;
         let claim = join_id(params.get_claim_high(), params.get_claim_low());
         results.get().set_state(write_claim_state(self.handler.claim_state(claim)));
-        self.handler.context().count_answered(ControlKind::Claim, CLAIM_BYTES, WORD_BYTES);
+        self.handler.context().count_received_request(
+            ControlKind::Claim,
+            CLAIM_REQUEST_BYTES,
+            WORD_BYTES,
+        );
         Ok(())
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/links/quarantine_desk.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/quarantine_desk.rs
@@ -254,7 +254,7 @@
         let digest = register.digest();
         let context = self.context.clone();
         tokio::task::spawn_local(async move {
-            context.tell_gossip(GossipCommand::SetQuarantine(digest)).await;
+            context.send_gossip_command(GossipCommand::SetQuarantine(digest)).await;
         });
     }
 
@@ -294,7 +294,7 @@
         };
         let reply = read_quarantine_news(response.get().ok()?.get_news().ok()?).ok()?;
         let (asked, answered) = (news.wire_bytes() + WORD_BYTES, reply.wire_bytes());
-        self.context.count_asked(ControlKind::Quarantine, asked, answered);
+        self.context.count_sent_request(ControlKind::Quarantine, asked, answered);
         Some(reply)
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/node_status.rs
+++ b/crates/coltsfoot-node/src/dispatch/node_status.rs
@@ -19,7 +19,8 @@
 impl DispatchDuty {
     /// The state of the node, for operators.
     pub(super) async fn status(&self) -> HttpReply {
-        let membership = timeout(GOSSIP_WAIT, self.context.ask_gossip()).await.ok().flatten();
+        let membership =
+            timeout(GOSSIP_WAIT, self.context.membership_status()).await.ok().flatten();
         HttpReply::json(StatusCode::OK, &self.status_body(membership))
     }
 
--- a/crates/coltsfoot-node/src/process/node_process.rs
+++ b/crates/coltsfoot-node/src/process/node_process.rs
@@ -15,7 +15,7 @@
     node_sockets::NodeSockets,
 };
 use crate::{
-    border::{ClientFront, NodeBorder},
+    border::{ClientFront, PlatformAdapter},
     clock::{MonotonicClock, wall_millis},
     config::{ConfigCell, ConfigHandle, ConfigThread, FreshnessCell},
     dispatch::{DispatchCommand, DispatchHandle, DispatchThread, FrontDoor, NodeIdentity},
@@ -58,10 +58,10 @@
     ///
     /// [`NodeError`] if an address cannot be listened on or a thread cannot start.
     pub fn start(settings: NodeSettings, drain: DrainSwitch) -> Result<Self, NodeError> {
-        Self::start_with(settings, drain, NodeBorder::own())
+        Self::start_with(settings, drain, PlatformAdapter::own())
     }
 
-    /// Like [`NodeProcess::start`], on a platform that `border` translates to.
+    /// Like [`NodeProcess::start`], on a platform that `adapter` connects to.
     ///
     /// # Errors
     ///
@@ -69,7 +69,7 @@
     pub fn start_with<P: StorePort + 'static, F: ClientFront>(
         settings: NodeSettings,
         drain: DrainSwitch,
-        border: NodeBorder<P, F>,
+        adapter: PlatformAdapter<P, F>,
     ) -> Result<Self, NodeError> {
         let sockets = NodeSockets::open(&settings.listen)?;
         let addresses = sockets.addresses;
@@ -81,7 +81,7 @@
         let journal = journal.spawn(metrics.clone())?;
         emit_start(&events, &identity, addresses);
         let store = StoreThread::start(
-            border.open_store,
+            adapter.open_store,
             store_settings(&settings, seed),
             metrics.clone(),
             events.clone(),
@@ -94,10 +94,10 @@
             settings: &settings,
             clock: MonotonicClock::new(),
             identity,
-            dialect: border.dialect,
-            repeat_guard: border.repeat_guard,
-            origin: border.origin,
-            shed_policy: border.shed_policy,
+            dialect: adapter.dialect,
+            repeat_guard: adapter.repeat_guard,
+            origin: adapter.origin,
+            shed_policy: adapter.shed_policy,
             seed,
             cell: ConfigCell::default(),
             freshness: FreshnessCell::default(),
@@ -109,7 +109,7 @@
             events,
         };
         GossipThread::start(parts.gossip(), sockets.gossip, gossip_ring)?;
-        let (client, door) = match border.front {
+        let (client, door) = match adapter.front {
             Some(front) => (None, Some(FrontDoor { front, listener: sockets.client })),
             None => (Some(HttpListener::start_client(sockets.client, parts.client_state())?), None),
         };
