--- a/crates/coltsfoot-node/src/border.rs
+++ b/crates/coltsfoot-node/src/border.rs
@@ -1,5 +1,5 @@
-//! Where a node meets its surroundings, as far as platforms differ: how clients are served, what an upstream
-//! is told in headers, how the platform's services are reached, who accepts configurations.
+//! Adaptation of a node to its platform: how clients are served, which headers are exchanged with the upstream, how
+//! the platform's services are reached, and who accepts configurations.
 
 mod client_front;
 mod platform_adapter;
--- a/crates/coltsfoot-node/src/border/client_front.rs
+++ b/crates/coltsfoot-node/src/border/client_front.rs
@@ -1,4 +1,4 @@
-//! How clients are served.
+//! Front that serves clients in the protocol of a platform.
 
 use std::future::Future;
 
@@ -6,15 +6,15 @@
 
 use crate::dispatch::EntryPort;
 
-/// Serves clients in a protocol of its own, in place of the product's client listener. It runs on the thread
-/// of the dispatch duty, so that a request crosses no thread before it is routed.
+/// Serves clients in a platform-specific protocol, in place of the native client listener. It runs on the thread of the
+/// dispatch duty, so that a request is routed without a switch of threads.
 pub trait ClientFront: Send + 'static {
-    /// Serves the connections of `listener` until the process ends. Whoever drops the future of
-    /// [`EntryPort::call`] gives the request up.
+    /// Serves the connections of `listener` until the process ends. Dropping the future of [`EntryPort::call`] cancels
+    /// the request.
     fn serve(self, listener: TcpListener, entry: EntryPort) -> impl Future<Output = ()>;
 }
 
-/// No front: the product's own client listener serves.
+/// Placeholder for a node without a front, whose clients are served by the native listener.
 pub enum NoFront {}
 
 impl ClientFront for NoFront {
--- a/crates/coltsfoot-node/src/border/platform_adapter.rs
+++ b/crates/coltsfoot-node/src/border/platform_adapter.rs
@@ -1,4 +1,4 @@
-//! What varies of a node from platform to platform.
+//! The platform-specific parts of a node.
 
 use std::sync::Arc;
 
@@ -11,24 +11,24 @@
     store::{HttpClient, StoreSettings},
 };
 
-/// What varies of a node from platform to platform.
+/// The platform-specific parts of a node.
 pub struct PlatformAdapter<P, F> {
-    /// Makes the way to the platform's services, on the thread that uses it.
+    /// Opens the client of the platform's services, on the thread that uses it.
     pub open_store: fn(&StoreSettings, Arc<NodeMetrics>) -> P,
-    /// Serves clients; `None`: the product's own listener does.
+    /// Front that serves clients; `None` if the native listener does.
     pub front: Option<F>,
-    /// Headers between node and upstream.
+    /// Headers used between node and upstream.
     pub dialect: UpstreamDialect,
-    /// What keeps non-repeatable work from running twice.
+    /// Mechanism that keeps non-repeatable work from running twice.
     pub repeat_guard: RepeatGuard,
-    /// Who accepts configurations.
+    /// Origin of accepted configurations.
     pub origin: ConfigOrigin,
-    /// What the guard's shed level follows.
+    /// Policy that sets the guard's shed level.
     pub shed_policy: ShedPolicy,
 }
 
 impl PlatformAdapter<HttpClient, NoFront> {
-    /// The product's own interface on every side.
+    /// Creates an adapter with the native interface for clients, upstream, store and configuration.
     pub fn own() -> Self {
         Self {
             open_store: HttpClient::new,
--- a/crates/coltsfoot-node/src/border/upstream_dialect.rs
+++ b/crates/coltsfoot-node/src/border/upstream_dialect.rs
@@ -1,4 +1,4 @@
-//! What node and upstream tell each other in headers.
+//! Headers exchanged between node and upstream.
 
 use coltsfoot_wire::peer::{HeaderLine, RequestHead};
 use coltsfootroute::{
@@ -10,46 +10,45 @@
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, header::CONTENT_ENCODING};
 use twox_hash::XxHash3_128;
 
-/// How an upstream says that it has not run a call.
+/// Marker in an answer of an upstream that has not run the call.
 #[derive(Clone, Debug)]
 pub struct NotRunMarker {
-    /// Header that says so.
+    /// Header that marks the answer.
     pub header: HeaderName,
-    /// Value that it needs to have; `None`: any.
+    /// Required value of the header; `None` for any.
     pub value: Option<&'static str>,
-    /// Status that the answer needs to have; `None`: any.
+    /// Required status of the answer; `None` for any.
     pub status: Option<StatusCode>,
 }
 
-/// What node and upstream tell each other in headers; absent ones are not used.
+/// Names of the headers exchanged between node and upstream; a header that is `None` is not used.
 #[derive(Clone, Debug)]
 pub struct UpstreamDialect {
-    /// To the upstream: milliseconds left.
+    /// Request header with the remaining time, in milliseconds.
     pub deadline: HeaderName,
-    /// To the upstream: the context of its nested calls.
+    /// Request header with the context for nested calls of the upstream.
     pub context: Option<HeaderName>,
-    /// To the upstream: idempotency key.
+    /// Request header with the idempotency key.
     pub key: Option<HeaderName>,
-    /// To the upstream: the team whose client request it is.
+    /// Request header with the team that sent the client request.
     pub team: Option<HeaderName>,
-    /// To the upstream: the instance that alone may run the call.
+    /// Request header with the only instance that may run the call.
     pub expected_instance: Option<HeaderName>,
-    /// Answer: the call has not run.
+    /// Marker of an answer to a call that has not run.
     pub not_run: NotRunMarker,
-    /// Answer: repeats the value that the call had under this name; another value is the answer to another
-    /// call.
+    /// Header whose value in the call is repeated in its answer; an answer with another value belongs to another call.
     pub echo: Option<HeaderName>,
-    /// Answer: stands on each success that is the upstream's own.
+    /// Response header on each successful answer that the upstream itself has sent.
     pub seal: Option<HeaderName>,
 }
 
 impl UpstreamDialect {
-    /// Whether the upstream refuses calls that are meant for another life of it.
+    /// Returns whether the upstream refuses calls meant for another instance of it.
     pub fn checks_instance(&self) -> bool {
         self.expected_instance.is_some()
     }
 
-    /// The product's own headers.
+    /// Creates a dialect with the native headers.
     pub fn own() -> Self {
         Self {
             deadline: HeaderName::from_static(DEADLINE_HEADER),
@@ -67,14 +66,14 @@
         }
     }
 
-    /// The context of a request that is passed on, under which its upstream's nested calls are found;
-    /// `None` where requests bear no identity.
+    /// Returns the context of a forwarded request, by which the nested calls of its upstream are matched to it; `None`
+    /// if the request has no identity.
     pub fn context_of(&self, head: &RequestHead) -> Option<u128> {
         let echo = self.echo.as_ref()?;
         HeaderLine::find(&head.headers, echo.as_str()).map(request_context)
     }
 
-    /// Whether an answer says that the call has not run.
+    /// Returns whether an answer reports that the call has not run.
     pub fn says_not_run(&self, status: StatusCode, headers: &HeaderMap) -> bool {
         let mark = &self.not_run;
         let is_status = mark.status.is_none_or(|expected| expected == status);
@@ -82,12 +81,13 @@
         is_status && value.is_some_and(|value| mark.value.is_none_or(|expected| value == expected))
     }
 
-    /// The identity that a call and its answer have in common; `None` where calls bear none.
+    /// Returns the identity that a call and its answer share; `None` if the headers have none.
     pub fn identity<'a>(&self, headers: &'a HeaderMap) -> Option<&'a HeaderValue> {
         headers.get(self.echo.as_ref()?)
     }
 
-    /// Whether a success is the upstream's own and not changed on the way.
+    /// Returns whether a successful answer was sent by the upstream itself and not changed on the way. Other answers
+    /// and dialects without a seal pass.
     pub fn is_sealed(&self, status: StatusCode, headers: &HeaderMap) -> bool {
         let Some(seal) = &self.seal else { return true };
         !status.is_success()
@@ -95,7 +95,7 @@
     }
 }
 
-/// The context of the request whose identity is `id`.
+/// Returns the context of the request whose identity is `id`.
 pub fn request_context(id: &[u8]) -> u128 {
     XxHash3_128::oneshot(id)
 }
--- a/crates/coltsfoot-node/src/dispatch/context.rs
+++ b/crates/coltsfoot-node/src/dispatch/context.rs
@@ -1,4 +1,4 @@
-//! What every part of the dispatch duty may use, and that holds no request.
+//! State shared by all parts of the dispatch duty, independent of single requests.
 
 mod call_fingerprint;
 mod clock_drift;
--- a/crates/coltsfoot-node/src/dispatch/context/call_fingerprint.rs
+++ b/crates/coltsfoot-node/src/dispatch/context/call_fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprint of a call, the same where it enters and at each guard.
+//! Fingerprint of a call, which is the same at the node where it enters and at each guard.
 
 use coltsfoot_wire::peer::{HeaderLine, RequestHead};
 use coltsfootroute::{
@@ -7,29 +7,29 @@
 };
 use http::header::{AUTHORIZATION, HOST};
 
-/// What a call asks for.
+/// Content of a call, from which its fingerprint is computed.
 #[derive(Clone, Copy)]
 pub struct CallContent<'a> {
     /// Service called.
     pub service: &'a ServiceName,
     /// Operation called.
     pub operation: &'a OperationName,
-    /// Team whose client request it is; its keys are not passed on.
+    /// Team that sent the client request; its API keys are not forwarded.
     pub team: Option<&'a TeamName>,
-    /// Head of a request to pass on; `None` for a call in the product's own form.
+    /// Head of a request to forward; `None` for a call in the native format.
     pub head: Option<&'a RequestHead>,
     /// Body.
     pub body: &'a [u8],
 }
 
 impl<'a> CallContent<'a> {
-    /// The fingerprint.
+    /// Returns the fingerprint of the call.
     pub fn fingerprint(&self) -> RequestFingerprint {
         RequestFingerprint::of(&self.parts())
     }
 
-    /// What the fingerprint is made of. A request that is passed on is known by its head, since a route may lead to
-    /// another service tomorrow; a call in the product's own form by its service and operation.
+    /// Returns the parts that the fingerprint covers. A forwarded request is identified by its head, since its route
+    /// may lead to another service later; a call in the native format by its service and operation.
     pub fn parts(&self) -> FingerprintParts<'a> {
         match self.head {
             Some(head) => FingerprintParts {
--- a/crates/coltsfoot-node/src/dispatch/context/node_context.rs
+++ b/crates/coltsfoot-node/src/dispatch/context/node_context.rs
@@ -1,4 +1,4 @@
-//! Clock, configuration, metrics and events of the node.
+//! Context of the dispatch duty: clock, configuration, metrics and events of the node.
 
 use std::{cell::RefCell, sync::Arc, time::Duration};
 
@@ -18,21 +18,21 @@
     settings::ControlMode,
 };
 
-/// What every part of the dispatch duty may use. Holds no request.
+/// State shared by all parts of the dispatch duty, independent of single requests.
 pub struct NodeContext {
     /// Clock of the process.
     pub clock: MonotonicClock,
-    /// The node.
+    /// Identity of the node.
     pub identity: NodeIdentity,
-    /// Whether load is controlled.
+    /// Whether load control is on.
     pub control: ControlMode,
-    /// What keeps non-repeatable work from running twice.
+    /// Mechanism that keeps non-repeatable work from running twice.
     pub repeat_guard: RepeatGuard,
     /// Configuration in force, written by the configuration duty.
     pub config: ConfigCell,
-    /// The newest proof that the configuration in force is the newest.
+    /// Latest proof that the configuration in force is up to date.
     pub freshness: FreshnessCell,
-    /// Age beyond which such a proof is too old for work that needs a key; `None`: none is needed.
+    /// Maximum age of that proof for work that requires a key; `None` if no proof is required.
     pub proof_time: Option<Duration>,
     /// Commands to the gossip duty.
     pub gossip: mpsc::Sender<GossipCommand>,
@@ -40,51 +40,54 @@
     pub metrics: Arc<NodeMetrics>,
     /// Events of the node.
     pub events: EventSender,
-    /// Random generator of the duty, seeded once. Never borrowed across an await.
+    /// Random number generator of the duty, seeded once. Must not be borrowed across an await point.
     pub rng: RefCell<Pcg64>,
-    /// When clocks that disagree were last reported.
+    /// Rate limit for reports of clock drift.
     pub(in crate::dispatch) drift: DriftReportLimiter,
 }
 
 impl NodeContext {
-    /// Revision in force, 0 before the first.
+    /// Returns the revision in force; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.config.load().map_or(0, |config| config.revision())
     }
 
-    /// What changed since revision `since`, encoded; empty if nothing did.
+    /// Returns the encoded changes since revision `since`; empty if there are none.
     ///
     /// # Errors
     ///
-    /// If the changes cannot be encoded.
+    /// Returns an error if the changes cannot be encoded.
     pub fn config_since(&self, since: u64) -> Result<Vec<u8>, capnp::Error> {
         let Some(config) = self.config.load() else { return Ok(Vec::new()) };
         config.encode_since(since).map_err(|err| capnp::Error::failed(err.to_string()))
     }
 
-    /// What the gossip duty knows; `None` if it is gone.
+    /// Queries the gossip duty for the membership status; `None` if the duty has stopped.
     pub async fn membership_status(&self) -> Option<MembershipStatus> {
         let (reply, status) = oneshot::channel();
         self.gossip.send(GossipCommand::Status(reply)).await.ok()?;
         status.await.ok()
     }
 
-    /// Sends a command to the gossip duty. A closed ring means that the process stops: nobody is left to tell.
+    /// Sends a command to the gossip duty. A closed channel means that the process is stopping, so the command is
+    /// dropped.
     pub async fn send_gossip_command(&self, command: GossipCommand) {
         let _ = self.gossip.send(command).await;
     }
 
-    /// `pause`, up to half of it shorter or longer: nodes that start together must not ask together.
+    /// Returns `pause` shortened or extended by up to half at random, so that nodes that start together do not send
+    /// their requests together.
     pub fn jittered(&self, pause: Duration) -> Duration {
         pause.mul_f64(self.rng.borrow_mut().random_range(0.5..1.5))
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> MonotonicTime {
         self.clock.now()
     }
 
-    /// Takes over the stamp of a message, so that what it causes here is ordered after it.
+    /// Merges the stamp of a received message into the clock of events, so that events caused by the message are
+    /// ordered after it.
     pub fn observe(&self, stamp: HybridStamp) {
         let Err(drift) = self.events.observe(stamp) else { return };
         if self.drift.is_due(self.clock.now()) {
--- a/crates/coltsfoot-node/src/dispatch/context/node_identity.rs
+++ b/crates/coltsfoot-node/src/dispatch/context/node_identity.rs
@@ -1,16 +1,16 @@
-//! What the dispatch duty knows of its own node.
+//! Identity and location of the node.
 
 use coltsfootroute::{
     id::{Incarnation, NodeId},
     name::{DomainName, RegionName},
 };
 
-/// What the dispatch duty knows of its own node; immutable.
+/// Identity and location of the node; immutable.
 #[derive(Clone, Debug)]
 pub struct NodeIdentity {
     /// Peer address of the node.
     pub node: NodeId,
-    /// This life of the node.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
     /// Failure domain of the host.
     pub domain: DomainName,
