--- a/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
@@ -113,7 +113,7 @@
     }
 
     fn take_token(&self, request: RequestId, take_id: u64) -> TokenAnswer {
-        self.ingress.take_own_token(request, take_id)
+        self.ingress.acquire_own_token(request, take_id)
     }
 
     fn hear_quarantine(&self, news: QuarantineUpdate, wants_all: bool) -> QuarantineUpdate {
--- a/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
@@ -106,7 +106,7 @@
         spawn_local(self.introduction.clone().keep_introduced());
         spawn_local(self.quarantine.clone().keep_cases());
         spawn_local(self.guard.clone().resume_upstream());
-        spawn_local(self.ingress.clone().follow_upstream());
+        spawn_local(self.ingress.clone().watch_callees());
         spawn_local(self.clone().find_nodes(start));
     }
 
@@ -187,8 +187,8 @@
             }
             self.links.close_idle();
             self.guard.notice_silence().await;
-            self.ingress.forget_unused().await;
-            self.ingress.forget_quotas();
+            self.ingress.unwatch_idle().await;
+            self.ingress.evict_idle_quotas();
             self.owner.prune();
             self.guard.report_gauges();
         }
--- a/crates/coltsfoot-node/src/dispatch/ingress.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress.rs
@@ -1,6 +1,6 @@
 //! What enters here: requests of clients and of the upstream beside the node, on their way to an upstream.
 
-mod attempt_count;
+mod attempt_tracker;
 mod call_ingress;
 mod call_routing;
 mod client_request;
--- a/crates/coltsfoot-node/src/dispatch/ingress/attempt_count.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/attempt_tracker.rs
@@ -8,7 +8,7 @@
 use crate::clock::micros;
 
 /// Counts an attempt in its pool and reports it, from start to end, also when its future is dropped.
-pub struct AttemptCount<'a> {
+pub struct AttemptTracker<'a> {
     ingress: &'a CallIngress,
     call: &'a RoutedCall,
     node: NodeId,
@@ -21,7 +21,7 @@
     pub outcome: CallOutcome,
 }
 
-impl<'a> AttemptCount<'a> {
+impl<'a> AttemptTracker<'a> {
     /// The attempt number `attempt` starts, on the upstream beside `node`.
     pub fn start(
         ingress: &'a CallIngress,
@@ -43,7 +43,7 @@
     }
 }
 
-impl Drop for AttemptCount<'_> {
+impl Drop for AttemptTracker<'_> {
     fn drop(&mut self) {
         let now = self.ingress.context.now();
         let latency = now.since(self.started);
--- a/crates/coltsfoot-node/src/dispatch/ingress/call_routing.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/call_routing.rs
@@ -14,10 +14,10 @@
 use tokio::time::{sleep, timeout_at};
 
 use super::{
-    attempt_count::AttemptCount,
+    attempt_tracker::AttemptTracker,
     call_ingress::CallIngress,
     pool_watch::FIRST_MEMBERS_WAIT,
-    route_progress::{RouteEnd, RouteProgress},
+    route_progress::{RouteProgress, RouteSummary},
     routed_call::RoutedCall,
 };
 use crate::dispatch::{
@@ -31,48 +31,48 @@
 impl CallIngress {
     /// Sends a call to upstreams of its service until one answers, the retries end or the deadline
     /// passes. The outcome speaks of all attempts together.
-    pub async fn route(self: &Rc<Self>, call: &RoutedCall) -> RouteEnd {
+    pub async fn route(self: &Rc<Self>, call: &RoutedCall) -> RouteSummary {
         let mut progress = RouteProgress::default();
-        if let Some(reply) = self.refuse_held(call) {
-            return progress.end(reply);
+        if let Some(reply) = self.refuse_quarantined(call) {
+            return progress.finish(reply);
         }
         self.await_first_members(call).await;
         loop {
             let tried_before = progress.tried.len();
             let reply = self.attempt(call, &mut progress).await;
             let was_sent = progress.tried.len() > tried_before;
-            self.learn_levels(&reply.levels);
-            self.learn_reached(call, &reply.levels);
-            if let Some(cause) = progress.note_reached(&reply) {
+            self.observe_levels(&reply.levels);
+            self.observe_reached(call, &reply.levels);
+            if let Some(cause) = progress.record_reached(&reply) {
                 self.context.metrics.retries.repeated(cause);
             }
             if was_sent {
-                progress.note_absent(&reply);
+                progress.record_absent(&reply);
             }
             if reply.outcome == CallOutcome::Completed {
-                return progress.end(reply);
+                return progress.finish(reply);
             }
             if reply.reason() == Some(RefusalReason::RetryBudget) {
                 if was_sent && progress.reroutes < MAX_REROUTES {
-                    progress.note_denied();
+                    progress.record_denied();
                     continue;
                 }
-                self.note_throttled(call);
-                return progress.end_failed(reply);
+                self.record_throttled(call);
+                return progress.finish_failed(reply);
             }
-            if was_sent && progress.reroutes < MAX_REROUTES && is_free_to_reroute(call, &reply) {
+            if was_sent && progress.reroutes < MAX_REROUTES && can_reroute(call, &reply) {
                 progress.reroutes += 1;
                 continue;
             }
             if !self.retry_after_failure(call, &reply, &progress).await {
-                return progress.end_failed(reply);
+                return progress.finish_failed(reply);
             }
-            progress.keep_reply(reply);
+            progress.keep_failure(reply);
         }
     }
 
     /// The refusal of a call that ends its upstreams. A guard that knows of it refuses it too; here it goes no further.
-    fn refuse_held(&self, call: &RoutedCall) -> Option<CallReply> {
+    fn refuse_quarantined(&self, call: &RoutedCall) -> Option<CallReply> {
         let content = CallContent {
             service: &call.service,
             operation: &call.operation,
@@ -108,14 +108,14 @@
         call: &RoutedCall,
         progress: &mut RouteProgress,
     ) -> CallReply {
-        let Some(node) = self.choose(call, progress) else {
-            return self.no_upstream(&call.service);
+        let Some(node) = self.choose_upstream(call, progress) else {
+            return self.refuse_without_upstream(&call.service);
         };
         if progress.denied.contains(&node) {
             return self.guard.refusal(RefusalReason::RetryBudget, CallOutcome::NotRun);
         }
         progress.tried.push(node);
-        let mut count = AttemptCount::start(self, call, node, progress.tried.len());
+        let mut tracker = AttemptTracker::start(self, call, node, progress.tried.len());
         let until = self.context.clock.instant_at(call.deadline).into();
         let is_sent = Cell::new(false);
         let sending = self.send(node, call, progress.is_retry(), &is_sent);
@@ -127,16 +127,16 @@
             }
             Err(_) => self.guard.refusal(RefusalReason::Deadline, CallOutcome::Unknown),
         };
-        count.result = route_result(&reply);
-        count.outcome = reply.outcome;
+        tracker.result = route_result(&reply);
+        tracker.outcome = reply.outcome;
         reply
     }
 
     /// A refusal for want of an upstream. Where the service has none at all, its level says so: requests that would
     /// reach it are refused where they enter, with a time to come back, and not after work in vain.
-    fn no_upstream(&self, service: &ServiceName) -> CallReply {
+    fn refuse_without_upstream(&self, service: &ServiceName) -> CallReply {
         let mut reply = self.guard.refusal(RefusalReason::NoUpstream, CallOutcome::NotRun);
-        if self.has_gone(service) {
+        if self.has_no_upstream(service) {
             let (service, guard) = (service.clone(), self.context.identity.node);
             reply.levels.push(LevelNote { service, guard, level: ShedLevel::MAX });
         }
@@ -144,10 +144,10 @@
     }
 
     /// An upstream not tried yet; where all have been, or as many as the operation allows, one of those.
-    fn choose(&self, call: &RoutedCall, progress: &RouteProgress) -> Option<NodeId> {
+    fn choose_upstream(&self, call: &RoutedCall, progress: &RouteProgress) -> Option<NodeId> {
         let now = self.context.now();
         let tried = &progress.tried;
-        if progress.has_reached_most(call.most_attempts) {
+        if progress.has_reached_max(call.most_attempts) {
             return self
                 .with_pool(&call.service, |pool| pool.choose_among(now, &progress.reached))
                 .flatten();
@@ -188,14 +188,14 @@
             // Boxed: most calls go to other nodes, and their tasks need no room for it.
             return Box::pin(self.guard.guard_call(self.request_of(call, is_retry))).await;
         }
-        match self.send_over(node, call, is_retry, is_sent).await {
+        match self.send_remote(node, call, is_retry, is_sent).await {
             Ok(reply) => {
                 self.context.observe(reply.stamp);
-                self.note_contact(&call.service, true).await;
+                self.report_contact(&call.service, true).await;
                 reply
             }
             Err(err) => {
-                self.note_contact(&call.service, false).await;
+                self.report_contact(&call.service, false).await;
                 match err {
                     LinkError::Unreachable => {
                         self.guard.refusal(RefusalReason::NoUpstream, CallOutcome::NotRun)
@@ -208,7 +208,7 @@
         }
     }
 
-    async fn send_over(
+    async fn send_remote(
         &self,
         node: NodeId,
         call: &RoutedCall,
@@ -250,11 +250,11 @@
         let backoff = match decision {
             RetryDecision::Retry { backoff } => backoff,
             RetryDecision::GiveUp(cause) => {
-                self.note_give_up(call, cause);
+                self.record_give_up(call, cause);
                 return false;
             }
         };
-        if !self.take_token(call).await {
+        if !self.acquire_token(call).await {
             return false;
         }
         sleep(backoff).await;
@@ -266,7 +266,7 @@
 /// have. Nothing was sent on, so that this neither multiplies down the chain nor takes a token. In the
 /// product's own form only a planned stop counts: there a guard's refusal for overload is final for its
 /// importance, and callers hear of it at once.
-fn is_free_to_reroute(call: &RoutedCall, reply: &CallReply) -> bool {
+fn can_reroute(call: &RoutedCall, reply: &CallReply) -> bool {
     if reply.reached_upstream || reply.outcome != CallOutcome::NotRun {
         return false;
     }
--- a/crates/coltsfoot-node/src/dispatch/ingress/client_request.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/client_request.rs
@@ -24,7 +24,7 @@
 
 use super::{
     call_ingress::CallIngress, incoming_call::IncomingCall, routed_call::RoutedCall,
-    team_credits::CreditDenied,
+    team_credits::CreditDenial,
 };
 use crate::{border::RepeatGuard, dispatch::guard::CallKind, http::HttpReply};
 
@@ -91,13 +91,13 @@
             self.refuse_entry(request, &call, check.importance, reason, Some(service));
             return CallReply::refusal(reason, CallOutcome::NotRun, retry_after.0);
         }
-        let taken = match &check.team {
-            Some(team) => self.take_credit(team).await,
+        let credit = match &check.team {
+            Some(team) => self.acquire_credit(team).await,
             None => Ok(None),
         };
-        let taken = match taken {
-            Ok(taken) => taken,
-            Err(denied) => return self.refuse_for_rate(request, &call, check.importance, &denied),
+        let credit = match credit {
+            Ok(credit) => credit,
+            Err(denial) => return self.refuse_for_rate(request, &call, check.importance, &denial),
         };
         let opened = self.accounts.borrow_mut().open(
             self.context.now(),
@@ -114,7 +114,7 @@
             deadline: check.deadline,
             account: (opened == OpenResult::Opened).then_some(self.context.identity.node),
             client: match &check.team {
-                Some(team) => queue_share(&team.name, check.turns, request),
+                Some(team) => queue_client(&team.name, check.turns, request),
                 None => hash_of(&client),
             },
             team: check.team.map(|team| team.name.clone()),
@@ -128,8 +128,8 @@
             body: call.body,
         };
         let reply = self.route_and_record(&routed, call.received).await;
-        if let Some(taken) = taken.filter(|_| reply.outcome == CallOutcome::NotRun) {
-            self.give_back(&taken);
+        if let Some(credit) = credit.filter(|_| reply.outcome == CallOutcome::NotRun) {
+            self.refund_credit(&credit);
         }
         reply
     }
@@ -140,10 +140,10 @@
         request: RequestId,
         call: &IncomingCall,
         importance: Importance,
-        denied: &CreditDenied,
+        denial: &CreditDenial,
     ) -> CallReply {
-        let mut reply = self.refuse_entry(request, call, importance, denied.reason, None);
-        if let (ReplyBody::Refusal { retry_after, .. }, Some(wait)) = (&mut reply.body, denied.wait)
+        let mut reply = self.refuse_entry(request, call, importance, denial.reason, None);
+        if let (ReplyBody::Refusal { retry_after, .. }, Some(wait)) = (&mut reply.body, denial.wait)
         {
             // On top of the wait the hint spreads those who come back for the same credit.
             *retry_after += wait;
@@ -152,16 +152,16 @@
     }
 
     fn check_entry(&self, call: &IncomingCall) -> Result<EntryCheck, RefusalReason> {
-        let proved = self.proved_config()?;
-        let operation = proved.config.operation(&call.service, &call.operation)?;
+        let snapshot = self.config_snapshot()?;
+        let operation = snapshot.config.operation(&call.service, &call.operation)?;
         let entry = operation.client.as_ref().ok_or(RefusalReason::UnknownOperation)?;
-        let team = self.find_team(call, entry, &proved)?;
+        let team = self.find_team(call, entry, &snapshot)?;
         self.check_key(operation, call)?;
         let deadline = entry_deadline(entry, call);
         self.check_deadline(call, deadline)?;
         Ok(EntryCheck {
-            importance: proved.config.ranks().importance(entry, team.as_deref()),
-            turns: team.as_ref().map_or(1, |team| proved.config.teams().turns(team)),
+            importance: snapshot.config.ranks().importance(entry, team.as_deref()),
+            turns: team.as_ref().map_or(1, |team| snapshot.config.teams().turns(team)),
             team,
             deadline,
             budget: entry.retry_budget,
@@ -201,13 +201,13 @@
 }
 
 fn entry_deadline(entry: &ClientEntry, call: &IncomingCall) -> MonotonicTime {
-    let most = Duration::from_millis(entry.deadline_ms);
-    call.received + call.remaining.map_or(most, |remaining| remaining.min(most))
+    let max = Duration::from_millis(entry.deadline_ms);
+    call.received + call.remaining.map_or(max, |remaining| remaining.min(max))
 }
 
 /// Which of its turns in a queue a team's request takes. A team is one client, however many hosts its requests come from,
 /// but one with as many turns as its rate deserves.
-fn queue_share(team: &TeamName, turns: u32, request: RequestId) -> u64 {
+fn queue_client(team: &TeamName, turns: u32, request: RequestId) -> u64 {
     hash_of(&(team, request.0 % u128::from(turns)))
 }
 
--- a/crates/coltsfoot-node/src/dispatch/ingress/member_search.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/member_search.rs
@@ -10,10 +10,10 @@
 
 /// Pause between two looks for watched services without a member, without a call to the table service while
 /// there is none; jittered. A newcomer's scan and gossip bring most services in this time, and each read has its price.
-/// Twice as long after each read, up to [`LONGEST_PAUSE`].
+/// Twice as long after each read, up to [`MAX_MEMBER_CHECK_PAUSE`].
 const MEMBER_CHECK_PAUSE: Duration = Duration::from_millis(2_500);
 /// Longest pause between two reads for services that stay without members; jittered.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+const MAX_MEMBER_CHECK_PAUSE: Duration = Duration::from_secs(10);
 
 impl CallIngress {
     /// Looks in the table service for members of watched services of which none is known: gossip alone comes by
@@ -25,7 +25,7 @@
             let missing = self.services_without_members();
             pause = match missing.is_empty() {
                 true => MEMBER_CHECK_PAUSE,
-                false => (pause * 2).min(LONGEST_PAUSE),
+                false => (pause * 2).min(MAX_MEMBER_CHECK_PAUSE),
             };
             for service in missing {
                 let found = self.introductions.members_of(&service).await;
--- a/crates/coltsfoot-node/src/dispatch/ingress/nested_request.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/nested_request.rs
@@ -129,11 +129,11 @@
 
 /// Never later than the deadline of the call above.
 fn nested_deadline(call: &IncomingCall, span: Option<&CallSpan>) -> MonotonicTime {
-    let asked = call.remaining.map(|remaining| call.received + remaining);
-    match (span, asked) {
-        (Some(span), Some(asked)) => span.deadline.min(asked),
+    let requested = call.remaining.map(|remaining| call.received + remaining);
+    match (span, requested) {
+        (Some(span), Some(requested)) => span.deadline.min(requested),
         (Some(span), None) => span.deadline,
-        (None, Some(asked)) => asked,
+        (None, Some(requested)) => requested,
         (None, None) => call.received + ORPHAN_DEADLINE,
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/ingress/pool_watch.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/pool_watch.rs
@@ -15,15 +15,15 @@
 /// Longest wait for the first members of a service that this node has not called before.
 pub(super) const FIRST_MEMBERS_WAIT: Duration = Duration::from_millis(1_500);
 /// How often the gossip duty is told that a service is in use.
-const TELL_PERIOD: Duration = Duration::from_secs(5);
+const USE_REPORT_PERIOD: Duration = Duration::from_secs(5);
 /// How often the gossip duty is told that calls reach a service's members, or fail to: a few times in the silence
 /// after which it would hide them.
-const CONTACT_PERIOD: Duration = Duration::from_secs(2);
+const CONTACT_REPORT_PERIOD: Duration = Duration::from_secs(2);
 /// A service that has not been called for so long is no longer watched.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+const UNWATCH_AFTER: Duration = Duration::from_secs(600);
 
 /// Schemas of at most so many services are watched whole, so that no client's first call waits.
-const EAGER_SERVICES: usize = 32;
+const MAX_EAGER_SERVICES: usize = 32;
 
 impl CallIngress {
     /// A configuration is in force from now on.
@@ -38,7 +38,7 @@
     /// beside the node calls.
     fn pinned_services(&self) -> Vec<ServiceName> {
         let Some(config) = self.context.config.load() else { return Vec::new() };
-        if config.service_count() <= EAGER_SERVICES {
+        if config.service_count() <= MAX_EAGER_SERVICES {
             return config.services();
         }
         let own = self.guard.service();
@@ -47,7 +47,7 @@
 
     /// Watches what the operations of the upstream beside the node call whenever another one is there, so that
     /// members are known before its first call.
-    pub async fn follow_upstream(self: Rc<Self>) {
+    pub async fn watch_callees(self: Rc<Self>) {
         loop {
             self.guard.service_changed.notified().await;
             let (Some(config), Some(service)) = (self.context.config.load(), self.guard.service())
@@ -70,7 +70,7 @@
     }
 
     /// Whether `service` has no upstream that stays, and this node has watched it for long enough to know.
-    pub(super) fn has_gone(&self, service: &ServiceName) -> bool {
+    pub(super) fn has_no_upstream(&self, service: &ServiceName) -> bool {
         let now = self.context.now();
         let pools = self.pools.borrow();
         let Some(entry) = pools.get(service) else { return false };
@@ -80,8 +80,8 @@
     /// Watches `service` from now on. Returns since when it has been watched.
     pub(super) async fn watch(&self, service: &ServiceName) -> MonotonicTime {
         let now = self.context.now();
-        if let Some((watched_since, was_cold)) = self.note_use(service, now) {
-            if was_cold {
+        if let Some((watched_since, is_report_due)) = self.record_use(service, now) {
+            if is_report_due {
                 self.context.tell_gossip(GossipCommand::Touch(service.clone())).await;
             }
             return watched_since;
@@ -95,9 +95,9 @@
             pool,
             watched_since: now,
             called: now,
-            told: now,
-            reached_told: None,
-            unreached_told: None,
+            use_reported: now,
+            reached_reported: None,
+            unreached_reported: None,
         };
         self.pools.borrow_mut().insert(service.clone(), entry);
         self.send_watches().await;
@@ -105,20 +105,24 @@
     }
 
     /// Since when `service` is watched, and whether it was last called a while ago.
-    fn note_use(&self, service: &ServiceName, now: MonotonicTime) -> Option<(MonotonicTime, bool)> {
+    fn record_use(
+        &self,
+        service: &ServiceName,
+        now: MonotonicTime,
+    ) -> Option<(MonotonicTime, bool)> {
         let mut pools = self.pools.borrow_mut();
         let entry = pools.get_mut(service)?;
-        let was_cold = now.since(entry.told) >= TELL_PERIOD;
-        if was_cold {
-            entry.told = now;
+        let is_report_due = now.since(entry.use_reported) >= USE_REPORT_PERIOD;
+        if is_report_due {
+            entry.use_reported = now;
         }
         entry.called = now;
-        Some((entry.watched_since, was_cold))
+        Some((entry.watched_since, is_report_due))
     }
 
     /// Tells the gossip duty whether a call has reached a member of `service`, unless it has just been told.
-    pub(super) async fn note_contact(&self, service: &ServiceName, reached: bool) {
-        if !self.is_news(service, reached) {
+    pub(super) async fn report_contact(&self, service: &ServiceName, reached: bool) {
+        if !self.is_contact_report_due(service, reached) {
             return;
         }
         let command = match reached {
@@ -128,25 +132,26 @@
         self.context.tell_gossip(command).await;
     }
 
-    fn is_news(&self, service: &ServiceName, reached: bool) -> bool {
+    fn is_contact_report_due(&self, service: &ServiceName, reached: bool) -> bool {
         let now = self.context.now();
         let mut pools = self.pools.borrow_mut();
         let Some(entry) = pools.get_mut(service) else { return false };
-        let told = if reached { &mut entry.reached_told } else { &mut entry.unreached_told };
-        let is_news = told.is_none_or(|told| now.since(told) >= CONTACT_PERIOD);
-        if is_news {
-            *told = Some(now);
+        let last_report =
+            if reached { &mut entry.reached_reported } else { &mut entry.unreached_reported };
+        let is_due = last_report.is_none_or(|last| now.since(last) >= CONTACT_REPORT_PERIOD);
+        if is_due {
+            *last_report = Some(now);
         }
-        is_news
+        is_due
     }
 
     /// Stops watching services that have not been called for long, unless they are pinned.
-    pub async fn forget_unused(&self) {
+    pub async fn unwatch_idle(&self) {
         let now = self.context.now();
         let pinned = self.pinned_services();
         let before = self.pools.borrow().len();
         self.pools.borrow_mut().retain(|service, entry| {
-            now.since(entry.called) < FORGET_AFTER || pinned.contains(service)
+            now.since(entry.called) < UNWATCH_AFTER || pinned.contains(service)
         });
         if self.pools.borrow().len() < before {
             self.send_watches().await;
--- a/crates/coltsfoot-node/src/dispatch/ingress/request_record.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/request_record.rs
@@ -13,7 +13,7 @@
 };
 
 use super::{
-    call_ingress::CallIngress, incoming_call::IncomingCall, route_progress::RouteEnd,
+    call_ingress::CallIngress, incoming_call::IncomingCall, route_progress::RouteSummary,
     routed_call::RoutedCall,
 };
 use crate::clock::micros;
@@ -25,12 +25,12 @@
         call: &RoutedCall,
         received: MonotonicTime,
     ) -> CallReply {
-        let RouteEnd { reply, attempts } = self.route(call).await;
-        self.record_end(call, &reply, attempts, received);
+        let RouteSummary { reply, attempts } = self.route(call).await;
+        self.record_outcome(call, &reply, attempts, received);
         reply
     }
 
-    fn record_end(
+    fn record_outcome(
         &self,
         call: &RoutedCall,
         reply: &CallReply,
@@ -38,37 +38,37 @@
         received: MonotonicTime,
     ) {
         let now = self.context.now();
-        let taken = now.since(received);
+        let elapsed = now.since(received);
         match &reply.body {
             ReplyBody::Answer { .. } => {
                 if reply.outcome == CallOutcome::Completed {
                     let mut times = self.times.borrow_mut();
-                    times.record(now, &call.service, &call.operation, taken);
+                    times.record(now, &call.service, &call.operation, elapsed);
                 }
                 self.context.metrics.requests.answered(reply.outcome);
                 self.context.metrics.requests.upstream_latency(reply.upstream_time);
                 self.context
                     .metrics
                     .requests
-                    .added_latency(taken.saturating_sub(reply.upstream_time));
+                    .added_latency(elapsed.saturating_sub(reply.upstream_time));
             }
             ReplyBody::Refusal { reason, .. } => {
                 self.context.metrics.requests.refused(*reason, call.importance);
             }
         }
-        self.context.events.emit(self.end_event(call, reply, attempts, taken));
+        self.context.events.emit(self.outcome_event(call, reply, attempts, elapsed));
     }
 
-    fn end_event(
+    fn outcome_event(
         &self,
         call: &RoutedCall,
         reply: &CallReply,
         attempts: u32,
-        taken: Duration,
+        elapsed: Duration,
     ) -> EventKind {
         let (request, service, operation) =
             (call.request, call.service.clone(), call.operation.clone());
-        let elapsed_us = micros(taken);
+        let elapsed_us = micros(elapsed);
         match (&reply.body, reply.outcome) {
             (ReplyBody::Answer { status, .. }, CallOutcome::Completed) => {
                 EventKind::RequestCompleted {
--- a/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn take_answer(denial: AcquireDenial) -> TakeAnswer {
+fn denial_answer(denial: AcquireDenial) -> TakeAnswer {
     match denial {
         AcquireDenial::UnknownAccount => TakeAnswer::NoAccount,
         AcquireDenial::BudgetSpent => TakeAnswer::Denied,
@@ -37,11 +37,11 @@
 }
 
 /// Longest wait for the account's node; after it there is no retry.
-const TAKE_TIMEOUT: Duration = Duration::from_millis(250);
+const ACQUIRE_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl CallIngress {
     /// Takes a token from a retry account kept at this node.
-    pub fn take_own_token(&self, request: RequestId, take_id: u64) -> TokenAnswer {
+    pub fn acquire_own_token(&self, request: RequestId, take_id: u64) -> TokenAnswer {
         let mut accounts = self.accounts.borrow_mut();
         let answer = match accounts.acquire(self.context.now(), request, take_id) {
             AcquireResult::Granted => {
@@ -50,14 +50,14 @@
             }
             AcquireResult::Denied(denial) => {
                 self.context.metrics.retries.denied(denial_reason(denial));
-                take_answer(denial)
+                denial_answer(denial)
             }
         };
         TokenAnswer { answer, remaining: accounts.remaining(request).unwrap_or_default() }
     }
 
     /// Takes a token for one retry of `call` from its account.
-    pub(super) async fn take_token(&self, call: &RoutedCall) -> bool {
+    pub(super) async fn acquire_token(&self, call: &RoutedCall) -> bool {
         if !self.context.control.is_on() {
             // The uncontrolled half of a measurement retries at each hop, bounded by its policy.
             return true;
@@ -66,13 +66,13 @@
             self.deny_retry(call, DenialReason::NoAccount);
             return false;
         };
-        let token = self.ask_token(account, call.request).await;
-        self.note_token(call, token);
+        let token = self.request_token(account, call.request).await;
+        self.record_token(call, token);
         token.is_some_and(|token| token.answer == TakeAnswer::Granted)
     }
 
     /// Takes note that a failed attempt is not repeated, where the cause is a limit and not the answer.
-    pub(super) fn note_give_up(&self, call: &RoutedCall, cause: GiveUpCause) {
+    pub(super) fn record_give_up(&self, call: &RoutedCall, cause: GiveUpCause) {
         match cause {
             GiveUpCause::NotRepeatable => self.deny_retry(call, DenialReason::NonRepeatable),
             GiveUpCause::TooLate => self.deny_retry(call, DenialReason::Deadline),
@@ -83,7 +83,7 @@
     }
 
     /// Takes note that the guard has let a retry pass no more.
-    pub(super) fn note_throttled(&self, call: &RoutedCall) {
+    pub(super) fn record_throttled(&self, call: &RoutedCall) {
         self.deny_retry(call, DenialReason::Throttled);
     }
 
@@ -98,7 +98,7 @@
         self.context.events.emit(EventKind::RetryDenied { request, service, reason });
     }
 
-    fn note_token(&self, call: &RoutedCall, token: Option<TokenAnswer>) {
+    fn record_token(&self, call: &RoutedCall, token: Option<TokenAnswer>) {
         let Some(token) = token else {
             self.deny_retry(call, DenialReason::Unreachable);
             return;
@@ -115,28 +115,28 @@
         }
     }
 
-    async fn ask_token(&self, account: NodeId, request: RequestId) -> Option<TokenAnswer> {
+    async fn request_token(&self, account: NodeId, request: RequestId) -> Option<TokenAnswer> {
         let take_id = self.context.rng.borrow_mut().random::<u64>();
         if account == self.context.identity.node {
-            return Some(self.take_own_token(request, take_id));
+            return Some(self.acquire_own_token(request, take_id));
         }
-        timeout(TAKE_TIMEOUT, self.ask_remote_token(account, request, take_id)).await.ok()?
+        timeout(ACQUIRE_TIMEOUT, self.request_remote_token(account, request, take_id)).await.ok()?
     }
 
-    async fn ask_remote_token(
+    async fn request_remote_token(
         &self,
         account: NodeId,
         request: RequestId,
         take_id: u64,
     ) -> Option<TokenAnswer> {
         let link = self.links.get(account).await.ok()?;
-        let mut take = link.client().take_retry_request();
+        let mut acquire = link.client().take_retry_request();
         let (high, low) = split_id(request);
-        take.get().set_request_high(high);
-        take.get().set_request_low(low);
-        take.get().set_take_id(take_id);
+        acquire.get().set_request_high(high);
+        acquire.get().set_request_low(low);
+        acquire.get().set_take_id(take_id);
         self.context.count_asked(ControlKind::Account, TAKE_BYTES, WORD_BYTES);
-        match take.send().promise.await {
+        match acquire.send().promise.await {
             Ok(response) => {
                 let response = response.get().ok()?;
                 let answer = read_take_answer(response.get_answer()).ok()?;
--- a/crates/coltsfoot-node/src/dispatch/ingress/root_shedding.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/root_shedding.rs
@@ -11,7 +11,7 @@
 
 impl CallIngress {
     /// Takes in the levels that came with a reply.
-    pub fn learn_levels(&self, notes: &[LevelNote]) {
+    pub fn observe_levels(&self, notes: &[LevelNote]) {
         let now = self.context.now();
         let mut root = self.root.borrow_mut();
         let levels = root.levels_mut();
@@ -21,7 +21,7 @@
     }
 
     /// Takes in which services an answer to `call` came from, all those below included.
-    pub fn learn_reached(&self, call: &RoutedCall, notes: &[LevelNote]) {
+    pub fn observe_reached(&self, call: &RoutedCall, notes: &[LevelNote]) {
         // In the product's own interface the schema declares the calls.
         if call.head.is_some() && !notes.is_empty() {
             let services = notes.iter().map(|note| &note.service);
@@ -39,12 +39,12 @@
     /// Refuses work here that would be refused deeper down.
     pub fn shed_at_root(&self, call: &IncomingCall, importance: Importance) -> Option<ShedRefusal> {
         // A call of a service without upstreams is told so where it is routed, at no cost.
-        if !self.context.control.is_on() || self.has_gone(&call.service) {
+        if !self.context.control.is_on() || self.has_no_upstream(&call.service) {
             return None;
         }
         let config = self.context.config.load()?;
-        let learnt = self.reached.borrow().of(&call.service, &call.operation);
-        let services = learnt.unwrap_or_else(|| config.reachable(&call.service, &call.operation));
+        let observed = self.reached.borrow().of(&call.service, &call.operation);
+        let services = observed.unwrap_or_else(|| config.reachable(&call.service, &call.operation));
         let now = self.context.now();
         let mut rng = self.context.rng.borrow_mut();
         let result = self.root.borrow_mut().admit(now, &services, importance, &mut *rng);
--- a/crates/coltsfoot-node/src/dispatch/ingress/route_progress.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/route_progress.rs
@@ -27,12 +27,12 @@
     /// Nodes that have no upstream for the call, or stop: they say the same when they are asked again.
     pub(super) absent: Vec<NodeId>,
     /// The failure that tells most: the last answer of an upstream, or else the last refusal.
-    kept: Option<CallReply>,
+    failure: Option<CallReply>,
 }
 
 impl RouteProgress {
     /// Takes note of how far the last attempt came. Returns why it was made, if it has repeated another one.
-    pub(super) fn note_reached(&mut self, reply: &CallReply) -> Option<RepeatCause> {
+    pub(super) fn record_reached(&mut self, reply: &CallReply) -> Option<RepeatCause> {
         let may_have_run = reply.outcome == CallOutcome::Unknown;
         self.may_have_run |= may_have_run;
         self.rejections +=
@@ -45,7 +45,7 @@
     }
 
     /// Takes note of a guard that has just been asked and has no upstream for the call.
-    pub(super) fn note_absent(&mut self, reply: &CallReply) {
+    pub(super) fn record_absent(&mut self, reply: &CallReply) {
         if is_absent(reply) {
             self.absent.extend(self.tried.last());
         }
@@ -53,7 +53,7 @@
 
     /// The guard tried last lets no repeat pass for now. Another may: upstreams that fail send their repeats to others,
     /// whose own calls have earned less.
-    pub(super) fn note_denied(&mut self) {
+    pub(super) fn record_denied(&mut self) {
         self.denied.extend(self.tried.last());
         self.reroutes += 1;
     }
@@ -69,25 +69,25 @@
     }
 
     /// Whether as many upstreams have been reached as the operation allows.
-    pub(super) fn has_reached_most(&self, most_attempts: Option<u32>) -> bool {
+    pub(super) fn has_reached_max(&self, most_attempts: Option<u32>) -> bool {
         let reached = u32::try_from(self.reached.len()).unwrap_or(u32::MAX);
         most_attempts.is_some_and(|most| reached >= most)
     }
 
     /// Keeps the reply to a failed attempt while another is made.
-    pub(super) fn keep_reply(&mut self, reply: CallReply) {
-        let has_answer = self.kept.as_ref().is_some_and(is_answer);
+    pub(super) fn keep_failure(&mut self, reply: CallReply) {
+        let has_answer = self.failure.as_ref().is_some_and(is_answer);
         if is_answer(&reply) || !has_answer {
-            self.kept = Some(reply);
+            self.failure = Some(reply);
         }
     }
 
     /// The end of a call whose last attempt failed. An upstream's own answer tells its caller more than the
     /// refusal of a later attempt, and any failure more than that it is not repeated.
-    pub(super) fn end_failed(mut self, last: CallReply) -> RouteEnd {
+    pub(super) fn finish_failed(mut self, last: CallReply) -> RouteSummary {
         let is_denied = last.reason() == Some(RefusalReason::RetryBudget);
         let kept =
-            self.kept.take().filter(|kept| is_denied || (!is_answer(&last) && is_answer(kept)));
+            self.failure.take().filter(|kept| is_denied || (!is_answer(&last) && is_answer(kept)));
         let mut reply = match kept {
             Some(kept) => CallReply { levels: last.levels, ..kept },
             None => last,
@@ -95,11 +95,11 @@
         if self.may_have_run {
             reply.outcome = CallOutcome::Unknown;
         }
-        self.end(reply)
+        self.finish(reply)
     }
 
-    pub(super) fn end(&self, reply: CallReply) -> RouteEnd {
-        RouteEnd { reply, attempts: u32::try_from(self.tried.len()).unwrap_or(u32::MAX) }
+    pub(super) fn finish(&self, reply: CallReply) -> RouteSummary {
+        RouteSummary { reply, attempts: u32::try_from(self.tried.len()).unwrap_or(u32::MAX) }
     }
 }
 
@@ -126,7 +126,7 @@
 }
 
 /// How a call ended.
-pub struct RouteEnd {
+pub struct RouteSummary {
     /// The last answer, with an outcome that speaks of all attempts.
     pub reply: CallReply,
     /// Upstreams tried.
--- a/crates/coltsfoot-node/src/dispatch/ingress/service_pool.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/service_pool.rs
@@ -11,9 +11,9 @@
     /// When the service was last called.
     pub called: MonotonicTime,
     /// When the gossip duty was last told that the service is in use.
-    pub(super) told: MonotonicTime,
+    pub(super) use_reported: MonotonicTime,
     /// When the gossip duty was last told that a call has reached a member.
-    pub(super) reached_told: Option<MonotonicTime>,
+    pub(super) reached_reported: Option<MonotonicTime>,
     /// When it was last told that a call has failed to.
-    pub(super) unreached_told: Option<MonotonicTime>,
+    pub(super) unreached_reported: Option<MonotonicTime>,
 }
--- a/crates/coltsfoot-node/src/dispatch/ingress/team_access.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/team_access.rs
@@ -15,21 +15,21 @@
 
 /// A key that is not known here is denied where the configuration was the newest so short a time ago; else it may be one
 /// that was added since.
-const NEWS_TIME: Duration = Duration::from_secs(2);
+const MAX_UNKNOWN_KEY_PROOF_AGE: Duration = Duration::from_secs(2);
 
 /// The configuration in force, and how old the proof is that it is the newest, where one is needed.
-pub(super) struct ProvedConfig {
+pub(super) struct ConfigSnapshot {
     pub(super) config: Arc<ConfigInForce>,
     proof_age: Option<Duration>,
 }
 
 impl CallIngress {
     /// The configuration in force with its proof.
-    pub(super) fn proved_config(&self) -> Result<ProvedConfig, RefusalReason> {
+    pub(super) fn config_snapshot(&self) -> Result<ConfigSnapshot, RefusalReason> {
         // In this order: the age of a proof holds for any later configuration as well.
         let proof_age =
             self.context.proof_time.and_then(|_| self.context.freshness.age(self.context.now()));
-        Ok(ProvedConfig { config: self.context.config.in_force()?, proof_age })
+        Ok(ConfigSnapshot { config: self.context.config.in_force()?, proof_age })
     }
 
     /// The team whose request a call is, by its key; `None` where it needs no key.
@@ -37,9 +37,9 @@
         &self,
         call: &IncomingCall,
         entry: &ClientEntry,
-        proved: &ProvedConfig,
+        snapshot: &ConfigSnapshot,
     ) -> Result<Option<Arc<TeamEntry>>, RefusalReason> {
-        let teams = proved.config.teams();
+        let teams = snapshot.config.teams();
         if teams.is_empty() || entry.keyless {
             return Ok(None);
         }
@@ -49,10 +49,10 @@
                 CallOrigin::Upstream { .. } => RefusalReason::Orphaned,
             });
         };
-        let is_within = |most| proved.proof_age.is_some_and(|age| age <= most);
+        let is_within = |max_age| snapshot.proof_age.is_some_and(|age| age <= max_age);
         match teams.holder(&key) {
             Some(team) if self.context.proof_time.is_none_or(is_within) => Ok(Some(team.clone())),
-            None if self.context.proof_time.is_none() || is_within(NEWS_TIME) => {
+            None if self.context.proof_time.is_none() || is_within(MAX_UNKNOWN_KEY_PROOF_AGE) => {
                 Err(RefusalReason::UnknownKey)
             }
             _ => Err(RefusalReason::StaleConfiguration),
--- a/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
@@ -25,24 +25,24 @@
 };
 
 /// Longest wait for an owner's answer: many times what hosts of one region need.
-const ASK_TIMEOUT: Duration = Duration::from_millis(250);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Pause after a question that nobody has answered.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
+const UNANSWERED_PAUSE: Duration = Duration::from_millis(50);
 /// Longest that a request waits for credit: time for one question to an owner and one to another.
-const CREDIT_WAIT: Duration = Duration::from_millis(600);
+const MAX_CREDIT_WAIT: Duration = Duration::from_millis(600);
 /// Longest time until there is credit that is waited for, and not refused: a team that sends what it may is not refused for
 /// requests that come close together.
-const SHORT_WAIT: Duration = Duration::from_millis(200);
+const MAX_REFILL_WAIT: Duration = Duration::from_millis(200);
 /// Services whose members may own a team's credit; more than one only where the first has none.
-const OWNING_SERVICES: usize = 3;
+const MAX_OWNING_SERVICES: usize = 3;
 
 /// Credit for one request, to be given back if it does not run.
-pub(super) struct CreditTaken {
+pub(super) struct AcquiredCredit {
     quota: Rc<TeamQuota>,
 }
 
 /// A request got no credit.
-pub(super) struct CreditDenied {
+pub(super) struct CreditDenial {
     /// Why.
     pub(super) reason: RefusalReason,
     /// When there is credit again, if that is known.
@@ -52,29 +52,29 @@
 impl CallIngress {
     /// Takes the credit for one request of `team`; waits for an owner's answer where there is none here. `None` for a team
     /// without a limit.
-    pub(super) async fn take_credit(
+    pub(super) async fn acquire_credit(
         self: &Rc<Self>,
         team: &TeamEntry,
-    ) -> Result<Option<CreditTaken>, CreditDenied> {
+    ) -> Result<Option<AcquiredCredit>, CreditDenial> {
         if team.rate.is_none() || !self.context.control.is_on() {
             return Ok(None);
         }
         let quota = self.quota_of(&team.name);
         quota.credit.borrow_mut().record_demand(self.context.now());
         if quota.credit.borrow_mut().acquire(self.context.now()) {
-            self.ask_ahead(&team.name, &quota);
-            return Ok(Some(CreditTaken { quota }));
+            self.request_ahead(&team.name, &quota);
+            return Ok(Some(AcquiredCredit { quota }));
         }
         self.await_credit(&team.name, quota).await.map(Some)
     }
 
     /// Gives credit back for a request that has not run.
-    pub(super) fn give_back(&self, taken: &CreditTaken) {
-        taken.quota.credit.borrow_mut().refund(self.context.now());
+    pub(super) fn refund_credit(&self, credit: &AcquiredCredit) {
+        credit.quota.credit.borrow_mut().refund(self.context.now());
     }
 
     /// Forgets teams that send nothing any more.
-    pub fn forget_quotas(&self) {
+    pub fn evict_idle_quotas(&self) {
         let now = self.context.now();
         let mut quotas = self.quotas.borrow_mut();
         quotas
@@ -91,36 +91,36 @@
         self: &Rc<Self>,
         team: &TeamName,
         quota: Rc<TeamQuota>,
-    ) -> Result<CreditTaken, CreditDenied> {
-        let until = Instant::now() + CREDIT_WAIT;
+    ) -> Result<AcquiredCredit, CreditDenial> {
+        let until = Instant::now() + MAX_CREDIT_WAIT;
         let _waiting = WaitingMark::begin(quota.clone());
         loop {
             let now = self.context.now();
             if quota.credit.borrow_mut().acquire(now) {
-                return Ok(CreditTaken { quota });
+                return Ok(AcquiredCredit { quota });
             }
             // Who has just been told that there is none does not ask again before.
             let exhausted_for = quota.credit.borrow().exhausted_for(now);
             if let Some(wait) = exhausted_for {
                 // As many wait as credit comes for.
-                if wait * quota.waiting.get() > SHORT_WAIT || Instant::now() + wait >= until {
+                if wait * quota.waiting.get() > MAX_REFILL_WAIT || Instant::now() + wait >= until {
                     let reason = RefusalReason::RateLimited;
-                    return Err(CreditDenied { reason, wait: exhausted_for });
+                    return Err(CreditDenial { reason, wait: exhausted_for });
                 }
                 sleep(wait).await;
                 continue;
             }
             let answered = quota.answered.notified();
-            self.ask_ahead(team, &quota);
+            self.request_ahead(team, &quota);
             if timeout_at(until, answered).await.is_err() {
-                return Err(CreditDenied { reason: RefusalReason::RateUnknown, wait: None });
+                return Err(CreditDenial { reason: RefusalReason::RateUnknown, wait: None });
             }
         }
     }
 
     /// Asks an owner for what is wanted, if anything is and none is being asked.
-    fn ask_ahead(self: &Rc<Self>, team: &TeamName, quota: &Rc<TeamQuota>) {
-        if quota.is_asking.get() {
+    fn request_ahead(self: &Rc<Self>, team: &TeamName, quota: &Rc<TeamQuota>) {
+        if quota.is_requesting.get() {
             return;
         }
         let wanted = quota.credit.borrow_mut().wanted(self.context.now(), quota.waiting.get());
@@ -128,10 +128,10 @@
             return;
         }
         let wish = CreditWish { wanted, used: quota.credit.borrow().used() };
-        quota.is_asking.set(true);
+        quota.is_requesting.set(true);
         let (ingress, team, quota) = (self.clone(), team.clone(), quota.clone());
         spawn_local(async move {
-            let grant = ingress.ask_owners(&team, wish).await;
+            let grant = ingress.request_credit(&team, wish).await;
             let now = ingress.context.now();
             match grant {
                 Some(grant) => quota.credit.borrow_mut().grant(now, grant),
@@ -140,24 +140,24 @@
             quota.answered.notify_waiters();
             if grant.is_none() {
                 // Where nothing listens the answer is there at once: asked again without a pause it would be asked for ever.
-                sleep(ASK_PAUSE).await;
+                sleep(UNANSWERED_PAUSE).await;
             }
-            quota.is_asking.set(false);
+            quota.is_requesting.set(false);
             quota.answered.notify_waiters();
         });
     }
 
     /// Asks who owns the credit of `team`, as far as this node knows; `None` if nobody says so of itself.
-    async fn ask_owners(&self, team: &TeamName, wish: CreditWish) -> Option<CreditGrant> {
+    async fn request_credit(&self, team: &TeamName, wish: CreditWish) -> Option<CreditGrant> {
         for service in self.owning_services(team) {
             self.watch(&service).await;
             let Some(owner) = self.owner.owner_in(&service, team) else {
-                if self.has_gone(&service) {
+                if self.has_no_upstream(&service) {
                     continue;
                 }
                 return None;
             };
-            return self.ask_owner(owner, team, wish).await;
+            return self.request_from_owner(owner, team, wish).await;
         }
         None
     }
@@ -166,11 +166,11 @@
     fn owning_services(&self, team: &TeamName) -> Vec<ServiceName> {
         let Some(config) = self.context.config.load() else { return Vec::new() };
         let mut ranked = ranked_services(team, config.services());
-        ranked.truncate(OWNING_SERVICES);
+        ranked.truncate(MAX_OWNING_SERVICES);
         ranked
     }
 
-    async fn ask_owner(
+    async fn request_from_owner(
         &self,
         owner: NodeId,
         team: &TeamName,
@@ -179,23 +179,23 @@
         if owner == self.context.identity.node {
             return self.owner.ask(owner, team, wish);
         }
-        timeout(ASK_TIMEOUT, self.ask_remote_owner(owner, team, wish)).await.ok()?
+        timeout(OWNER_TIMEOUT, self.request_from_remote_owner(owner, team, wish)).await.ok()?
     }
 
-    async fn ask_remote_owner(
+    async fn request_from_remote_owner(
         &self,
         owner: NodeId,
         team: &TeamName,
         wish: CreditWish,
     ) -> Option<CreditGrant> {
         let link = self.links.get(owner).await.ok()?;
-        let mut take = link.client().take_credit_request();
-        write_address(self.context.identity.node.0, take.get().init_asker());
-        take.get().set_team(team.as_str());
-        take.get().set_wanted(wish.wanted);
-        take.get().set_used(wish.used);
+        let mut request = link.client().take_credit_request();
+        write_address(self.context.identity.node.0, request.get().init_asker());
+        request.get().set_team(team.as_str());
+        request.get().set_wanted(wish.wanted);
+        request.get().set_used(wish.used);
         self.context.count_asked(ControlKind::Quota, CREDIT_BYTES, GRANT_BYTES);
-        let Ok(response) = take.send().promise.await else {
+        let Ok(response) = request.send().promise.await else {
             self.links.failed(owner, &link);
             return None;
         };
--- a/crates/coltsfoot-node/src/dispatch/ingress/team_quota.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/team_quota.rs
@@ -9,7 +9,7 @@
 pub(super) struct TeamQuota {
     pub(super) credit: RefCell<TeamCredit>,
     /// Whether an owner is being asked.
-    pub(super) is_asking: Cell<bool>,
+    pub(super) is_requesting: Cell<bool>,
     /// Requests that wait for credit.
     pub(super) waiting: Cell<u32>,
     /// Woken when an owner has answered, or none has.
@@ -21,7 +21,7 @@
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             credit: RefCell::new(TeamCredit::new(now)),
-            is_asking: Cell::new(false),
+            is_requesting: Cell::new(false),
             waiting: Cell::new(0),
             answered: Notify::new(),
         }
