--- a/crates/coltsfoot-node/src/dispatch/ingress.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress.rs
@@ -1,4 +1,4 @@
-//! What enters here: requests of clients and of the upstream beside the node, on their way to an upstream.
+//! Accepts requests of clients and of the upstream beside the node, and routes them to upstreams.
 
 mod attempt_tracker;
 mod call_ingress;
--- a/crates/coltsfoot-node/src/dispatch/ingress/attempt_tracker.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/attempt_tracker.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call, from start to end.
+//! Reporting of one attempt of a call.
 
 use coltsfootroute::{
     event::EventKind, id::NodeId, outcome::CallOutcome, routing::RouteResult, time::MonotonicTime,
@@ -7,22 +7,22 @@
 use super::{call_ingress::CallIngress, routed_call::RoutedCall};
 use crate::clock::micros;
 
-/// Counts an attempt in its pool and reports it, from start to end, also when its future is dropped.
+/// Counts an attempt in its pool and emits its start and finish events, also when its future is dropped.
 pub struct AttemptTracker<'a> {
     ingress: &'a CallIngress,
     call: &'a RoutedCall,
     node: NodeId,
-    /// 1 for the first attempt.
+    /// Number of the attempt, from 1.
     attempt: u32,
     started: MonotonicTime,
-    /// How it ended for the pool.
+    /// Result reported to the pool.
     pub result: RouteResult,
-    /// How it ended for the call; unknown while it runs.
+    /// Outcome for the call; `Unknown` while the attempt runs.
     pub outcome: CallOutcome,
 }
 
 impl<'a> AttemptTracker<'a> {
-    /// The attempt number `attempt` starts, on the upstream beside `node`.
+    /// Records the start of attempt number `attempt` on the upstream beside `node`.
     pub fn start(
         ingress: &'a CallIngress,
         call: &'a RoutedCall,
--- a/crates/coltsfoot-node/src/dispatch/ingress/call_ingress.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/call_ingress.rs
@@ -1,4 +1,4 @@
-//! State of what enters here.
+//! State shared by the requests that enter at this node.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -18,39 +18,39 @@
     links::{CreditOwner, IntroductionStore, PeerLinks, QuarantineDesk},
 };
 
-/// Takes requests in and routes them to upstreams. The guard of the own upstream is one guard among others:
-/// calls go to it as to other nodes, and come back as replies.
+/// Accepts requests and routes them to upstreams. The guard of the local upstream is treated like the guards of
+/// other nodes: it is sent calls and returns replies.
 pub struct CallIngress {
     pub(super) context: Rc<NodeContext>,
     pub(super) links: Rc<PeerLinks>,
     pub(super) guard: Rc<CallGuard>,
     pub(super) introductions: IntroductionStore,
-    /// Requests that end their upstreams.
+    /// Quarantine of requests that crash their upstreams.
     pub(super) quarantine: Rc<QuarantineDesk>,
-    /// The credit of teams that this node owns.
+    /// Credit of the teams that this node owns.
     pub(super) owner: Rc<CreditOwner>,
-    /// The credit of teams whose requests enter here.
+    /// Credit of the teams whose requests enter here.
     pub(super) quotas: RefCell<IndexMap<TeamName, Rc<TeamQuota>>>,
     /// Upstreams of the watched services.
     pub(in crate::dispatch) pools: RefCell<IndexMap<ServiceName, ServicePool>>,
-    /// Members of the own service and of the watched ones.
+    /// Member counts of the local upstream's service and of the watched services.
     pub(in crate::dispatch) member_counts: RefCell<IndexMap<ServiceName, MemberCounts>>,
-    /// Woken whenever the members of some service changed.
+    /// Notified whenever the members of a service change.
     pub(super) members_changed: Notify,
     /// Retry accounts of the client requests that entered here.
     pub(super) accounts: RefCell<AccountLedger>,
     pub(super) policy: RetryPolicy,
-    /// Levels of the services, and what is refused by them where requests enter.
+    /// Shed levels of the services; refuses requests at entry by these levels.
     pub(super) root: RefCell<RootGate>,
-    /// Services that operations have reached, where the configuration does not declare it.
+    /// Services observed to be reached by operations whose calls the configuration does not declare.
     pub(super) reached: RefCell<ReachedServices>,
-    /// How long calls have taken of late.
+    /// Recent durations of calls.
     pub(super) times: RefCell<ServiceTimes>,
     pub(super) deadlines: DeadlineCheck,
 }
 
 impl CallIngress {
-    /// An ingress that watches no service yet.
+    /// Creates an ingress that watches no service.
     pub fn new(
         context: Rc<NodeContext>,
         links: Rc<PeerLinks>,
--- a/crates/coltsfoot-node/src/dispatch/ingress/call_routing.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/call_routing.rs
@@ -1,4 +1,4 @@
-//! Sending a call to an upstream of its service: choice, attempts, retries.
+//! Routing of a call to the upstreams of its service: selection, attempts and retries.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -25,12 +25,13 @@
     links::{HeldCall, LinkError},
 };
 
-/// Guards that may refuse one call, unsent, before a further attempt counts as a retry.
+/// Maximum number of guards that may refuse a call before it reaches their upstream without the next attempt
+/// counting as a retry.
 const MAX_REROUTES: usize = 2;
 
 impl CallIngress {
-    /// Sends a call to upstreams of its service until one answers, the retries end or the deadline
-    /// passes. The outcome speaks of all attempts together.
+    /// Sends a call to upstreams of its service until one answers, no further retry is allowed or the deadline
+    /// passes. The outcome covers all attempts together.
     pub async fn route(self: &Rc<Self>, call: &RoutedCall) -> RouteSummary {
         let mut progress = RouteProgress::default();
         if let Some(reply) = self.refuse_quarantined(call) {
@@ -71,7 +72,8 @@
         }
     }
 
-    /// The refusal of a call that ends its upstreams. A guard that knows of it refuses it too; here it goes no further.
+    /// Returns the refusal of a quarantined call, one that crashes its upstreams; `None` for any other call. The guards
+    /// that know of the quarantine refuse it too; refusing it here saves sending it.
     fn refuse_quarantined(&self, call: &RoutedCall) -> Option<CallReply> {
         let content = CallContent {
             service: &call.service,
@@ -84,12 +86,12 @@
             HeldCall::Held(wait) => {
                 Some(CallReply::refusal(RefusalReason::Quarantined, CallOutcome::NotRun, wait))
             }
-            // The guard asks for the trial.
+            // The guard requests the trial.
             HeldCall::TrialDue(_) => None,
         }
     }
 
-    /// Waits for the members of a service that has only been watched for a moment.
+    /// Waits for the first members of a service, up to [`FIRST_MEMBERS_WAIT`] after the node began to watch it.
     async fn await_first_members(&self, call: &RoutedCall) {
         let watched_since = self.watch(&call.service).await;
         let until = call.deadline.min(watched_since + FIRST_MEMBERS_WAIT);
@@ -121,7 +123,7 @@
         let sending = self.send(node, call, progress.is_retry(), &is_sent);
         let reply = match timeout_at(until, sending).await {
             Ok(reply) => reply,
-            // Still without a connection, the call has gone nowhere, and its caller may be told so.
+            // Without a connection, the call has not been sent, so its outcome is certain.
             Err(_) if !is_sent.get() => {
                 self.guard.refusal(RefusalReason::Deadline, CallOutcome::NotRun)
             }
@@ -132,8 +134,8 @@
         reply
     }
 
-    /// A refusal for want of an upstream. Where the service has none at all, its level says so: requests that would
-    /// reach it are refused where they enter, with a time to come back, and not after work in vain.
+    /// Refuses a call for lack of an upstream. If the service has none at all, the reply reports the maximum shed level
+    /// for it: requests that would reach it are then refused at entry, with a retry time, before any work is wasted.
     fn refuse_without_upstream(&self, service: &ServiceName) -> CallReply {
         let mut reply = self.guard.refusal(RefusalReason::NoUpstream, CallOutcome::NotRun);
         if self.has_no_upstream(service) {
@@ -143,7 +145,8 @@
         reply
     }
 
-    /// An upstream not tried yet; where all have been, or as many as the operation allows, one of those.
+    /// Chooses an upstream that has not been tried. If all have been tried, or if as many have been reached as the
+    /// operation allows, chooses one of those.
     fn choose_upstream(&self, call: &RoutedCall, progress: &RouteProgress) -> Option<NodeId> {
         let now = self.context.now();
         let tried = &progress.tried;
@@ -175,7 +178,7 @@
         .flatten()
     }
 
-    /// Sends a call to the guard beside `node`; `is_sent` tells whether it may have reached it.
+    /// Sends a call to the guard at `node`, and sets `is_sent` as soon as the call may have reached it.
     async fn send(
         self: &Rc<Self>,
         node: NodeId,
@@ -185,7 +188,7 @@
     ) -> CallReply {
         if node == self.context.identity.node {
             is_sent.set(true);
-            // Boxed: most calls go to other nodes, and their tasks need no room for it.
+            // Boxed to keep the future small: most calls go to other nodes.
             return Box::pin(self.guard.guard_call(self.request_of(call, is_retry))).await;
         }
         match self.send_remote(node, call, is_retry, is_sent).await {
@@ -217,7 +220,7 @@
     ) -> Result<CallReply, LinkError> {
         let link = self.links.call_link(node).await?;
         is_sent.set(true);
-        // Made once the link is open: the time left is that at the sending.
+        // Built after the link is open, so that the remaining time is the one at sending.
         link.call(&self.request_of(call, is_retry)).await
     }
 
@@ -226,7 +229,7 @@
         call.to_request(now, is_retry, revision, self.context.events.stamp())
     }
 
-    /// Whether the call is tried again; waits for the backoff and takes a token before it says so.
+    /// Returns whether to retry the call, after acquiring a retry token and waiting for the backoff.
     async fn retry_after_failure(
         &self,
         call: &RoutedCall,
@@ -262,10 +265,10 @@
     }
 }
 
-/// Whether the guard refused the call before its upstream saw it, for a reason that another guard may not
-/// have. Nothing was sent on, so that this neither multiplies down the chain nor takes a token. In the
-/// product's own form only a planned stop counts: there a guard's refusal for overload is final for its
-/// importance, and callers hear of it at once.
+/// Whether the guard refused the call before it reached the upstream, for a reason that may not apply to another
+/// guard. Since nothing was forwarded, a reroute does not multiply calls further down and needs no retry token. For
+/// calls in the product's own form only a planned stop qualifies: there a guard's refusal for overload is final for
+/// the call's importance, and is returned to the caller immediately.
 fn can_reroute(call: &RoutedCall, reply: &CallReply) -> bool {
     if reply.reached_upstream || reply.outcome != CallOutcome::NotRun {
         return false;
@@ -280,14 +283,14 @@
 fn route_result(reply: &CallReply) -> RouteResult {
     match (&reply.body, reply.outcome) {
         (ReplyBody::Answer { .. }, CallOutcome::Completed) => RouteResult::Succeeded,
-        // The upstream was sound: what it called was not.
+        // The upstream itself was healthy; a service that it called failed.
         _ if reply.failed_below => RouteResult::FailedBelow,
         (ReplyBody::Answer { .. }, _) => RouteResult::Failed,
         (ReplyBody::Refusal { reason: RefusalReason::Leaving, .. }, _) => RouteResult::Leaving,
         (ReplyBody::Refusal { reason: RefusalReason::NoUpstream, .. }, _) => {
             RouteResult::Unreachable
         }
-        // Says nothing of the upstream.
+        // These refusals say nothing about the health of the upstream.
         (
             ReplyBody::Refusal {
                 reason: RefusalReason::RetryBudget | RefusalReason::Quarantined,
--- a/crates/coltsfoot-node/src/dispatch/ingress/client_request.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/client_request.rs
@@ -1,4 +1,4 @@
-//! Taking a client request in: checks, retry account, routing, final answer.
+//! Handling of a client request: checks, retry account, routing, final reply.
 
 use std::{
     hash::{Hash, Hasher},
@@ -28,11 +28,11 @@
 };
 use crate::{border::RepeatGuard, dispatch::guard::CallKind, http::HttpReply};
 
-/// A client request that passed the checks of its form.
+/// Parameters of a client request that passed the entry checks.
 struct EntryCheck {
     importance: Importance,
     team: Option<Arc<TeamEntry>>,
-    /// Turns of the team in each round of a queue.
+    /// Number of turns that the team has in each round of a queue.
     turns: u32,
     deadline: MonotonicTime,
     budget: u32,
@@ -40,7 +40,7 @@
     most_attempts: Option<u32>,
 }
 
-/// Closes the retry account of a request when its final answer stands, or its client is gone.
+/// Closes the retry account of a request on drop: when its final reply is known, or its client has disconnected.
 struct OpenAccount<'a> {
     ingress: &'a CallIngress,
     request: RequestId,
@@ -62,7 +62,7 @@
         if self.guard.is_closing() { reply.with_close() } else { reply }
     }
 
-    /// Serves one request of a client under an identity that its listener has found.
+    /// Serves one request of a client under a request identifier that its listener has determined.
     pub async fn serve_entry(
         self: &Rc<Self>,
         request: RequestId,
@@ -134,7 +134,7 @@
         reply
     }
 
-    /// A refusal of a request for which its team has no credit.
+    /// Refuses a request for which its team has no credit.
     fn refuse_for_rate(
         &self,
         request: RequestId,
@@ -145,7 +145,7 @@
         let mut reply = self.refuse_entry(request, call, importance, denial.reason, None);
         if let (ReplyBody::Refusal { retry_after, .. }, Some(wait)) = (&mut reply.body, denial.wait)
         {
-            // On top of the wait the hint spreads those who come back for the same credit.
+            // The guard's retry hint, added to the wait, spreads the clients that retry for the same credit.
             *retry_after += wait;
         }
         reply
@@ -170,7 +170,7 @@
         })
     }
 
-    /// A non-repeatable operation needs an idempotency key where runs are claimed by key.
+    /// Checks that a non-repeatable operation has an idempotency key, if runs are claimed by key.
     pub(super) fn check_key(
         &self,
         operation: &OperationEntry,
@@ -180,7 +180,7 @@
         if needs_key && call.key.is_none() { Err(RefusalReason::BadRequest) } else { Ok(()) }
     }
 
-    /// Refuses work that cannot end in time, by the time such calls have taken of late.
+    /// Refuses a call that cannot finish by its deadline, judged by the recent durations of such calls.
     pub(super) fn check_deadline(
         &self,
         call: &IncomingCall,
@@ -205,8 +205,8 @@
     call.received + call.remaining.map_or(max, |remaining| remaining.min(max))
 }
 
-/// Which of its turns in a queue a team's request takes. A team is one client, however many hosts its requests come from,
-/// but one with as many turns as its rate deserves.
+/// Returns the client hash by which a team's request is queued. A team counts as one client, however many hosts its
+/// requests come from, but has as many turns in a queue as its rate entitles it to; the request takes one of them.
 fn queue_client(team: &TeamName, turns: u32, request: RequestId) -> u64 {
     hash_of(&(team, request.0 % u128::from(turns)))
 }
--- a/crates/coltsfoot-node/src/dispatch/ingress/incoming_call.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/incoming_call.rs
@@ -10,7 +10,7 @@
     time::MonotonicTime,
 };
 
-/// Where a call came in.
+/// Listener that received a call.
 #[derive(Clone, Debug)]
 pub enum CallOrigin {
     /// On the listener for clients.
@@ -28,13 +28,13 @@
 /// A call as a listener received it.
 #[derive(Clone, Debug)]
 pub struct IncomingCall {
-    /// Where it came in.
+    /// Listener that received the call.
     pub origin: CallOrigin,
     /// Service called.
     pub service: ServiceName,
     /// Operation called.
     pub operation: OperationName,
-    /// Digest of the key that the caller shows, if it shows one.
+    /// Digest of the key that the caller presents, if any.
     pub credential: Option<KeyDigest>,
     /// Idempotency key.
     pub key: Option<String>,
@@ -46,6 +46,6 @@
     pub head: Option<RequestHead>,
     /// Body.
     pub body: Bytes,
-    /// When the head of the request had been read.
+    /// Time at which the head of the request had been read.
     pub received: MonotonicTime,
 }
--- a/crates/coltsfoot-node/src/dispatch/ingress/member_counts.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/member_counts.rs
@@ -1,8 +1,8 @@
-//! Members of a service by state.
+//! Counts of a service's members by state.
 
 use coltsfootroute::membership::{MemberRecord, MemberState};
 
-/// Members of a service by state, as the metrics name the states.
+/// Counts of a service's members by state, under the names that the metrics use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct MemberCounts {
     up: usize,
--- a/crates/coltsfoot-node/src/dispatch/ingress/member_search.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/member_search.rs
@@ -1,4 +1,4 @@
-//! Looking in the table service for members of watched services of which none is known.
+//! Search in the table service for members of watched services that have no known member.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,16 +8,16 @@
 use super::call_ingress::CallIngress;
 use crate::gossip::GossipCommand;
 
-/// Pause between two looks for watched services without a member, without a call to the table service while
-/// there is none; jittered. A newcomer's scan and gossip bring most services in this time, and each read has its price.
-/// Twice as long after each read, up to [`MAX_MEMBER_CHECK_PAUSE`].
+/// Pause between two checks for watched services without a member; jittered. The table service is only called if there
+/// is such a service. A new node's scan and gossip find most services in this time, and each read has a cost.
+/// Doubled after each read, up to [`MAX_MEMBER_CHECK_PAUSE`].
 const MEMBER_CHECK_PAUSE: Duration = Duration::from_millis(2_500);
-/// Longest pause between two reads for services that stay without members; jittered.
+/// Longest pause between two reads for services that remain without members; jittered.
 const MAX_MEMBER_CHECK_PAUSE: Duration = Duration::from_secs(10);
 
 impl CallIngress {
-    /// Looks in the table service for members of watched services of which none is known: gossip alone comes by
-    /// a small service late, while everyone starts.
+    /// Searches the table service for members of watched services that have no known member: while all nodes start,
+    /// gossip alone is slow to find a small service.
     pub async fn find_members(self: Rc<Self>) {
         let mut pause = MEMBER_CHECK_PAUSE;
         loop {
--- a/crates/coltsfoot-node/src/dispatch/ingress/nested_request.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/nested_request.rs
@@ -1,4 +1,4 @@
-//! Nested calls of the upstream beside the node.
+//! Handling of nested calls from the upstream beside the node.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,7 +20,7 @@
 /// Deadline of a nested call that carries neither a context nor a deadline.
 const ORPHAN_DEADLINE: Duration = Duration::from_millis(1_000);
 
-/// A nested call that passed the checks of its form.
+/// Parameters of a nested call that passed the entry checks.
 struct NestedCheck {
     repeatable: bool,
     most_attempts: Option<u32>,
@@ -49,8 +49,8 @@
     /// Serves a call that is nested below `span`.
     pub async fn serve_below(self: &Rc<Self>, call: IncomingCall, span: Rc<CallSpan>) -> CallReply {
         let mark = NestedMark::begin(span.clone());
-        // A front sees for itself that the caller has gone; an upstream whose work is given up closes its
-        // nested calls. Until then they go on: their upstreams are at work.
+        // A front detects by itself that the caller has disconnected, and an upstream whose work is cancelled closes
+        // its nested calls. Until then they continue, because their upstreams are working on them.
         let reply = match call.head {
             Some(_) => self.serve_in_span(span.request, call, Some(&span)).await,
             None => self.serve_unless_cancelled(call, &span).await,
@@ -61,8 +61,8 @@
         reply
     }
 
-    /// Serves a nested call until the call above it is given up: then its own work is given up too, all
-    /// the way down. The listener does not tell when a caller has gone, but the guard does.
+    /// Serves a nested call until the call above it is cancelled, which cancels the nested call and all calls below
+    /// it. The listener does not report that a caller has disconnected, but the guard does.
     async fn serve_unless_cancelled(
         self: &Rc<Self>,
         call: IncomingCall,
@@ -84,7 +84,7 @@
     ) -> CallReply {
         let importance = span.map_or(Importance::Background, |span| span.importance);
         let kind = if span.is_some() { CallKind::Nested } else { CallKind::Guarded };
-        // Work under way may go on calling while the node leaves.
+        // Calls that are already running may make nested calls while the node leaves.
         let Some(_permit) = self.guard.start_call(kind) else {
             return self.guard.refuse(importance, RefusalReason::Leaving);
         };
@@ -127,7 +127,7 @@
     }
 }
 
-/// Never later than the deadline of the call above.
+/// Returns the deadline of a nested call, which is never later than the deadline of the call above.
 fn nested_deadline(call: &IncomingCall, span: Option<&CallSpan>) -> MonotonicTime {
     let requested = call.remaining.map(|remaining| call.received + remaining);
     match (span, requested) {
--- a/crates/coltsfoot-node/src/dispatch/ingress/pool_watch.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/pool_watch.rs
@@ -1,4 +1,4 @@
-//! Which services this node watches, and what it is told of their members.
+//! The services that this node watches, and updates of their members.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -14,19 +14,19 @@
 
 /// Longest wait for the first members of a service that this node has not called before.
 pub(super) const FIRST_MEMBERS_WAIT: Duration = Duration::from_millis(1_500);
-/// How often the gossip duty is told that a service is in use.
+/// Shortest time between two reports to the gossip duty that a service is in use.
 const USE_REPORT_PERIOD: Duration = Duration::from_secs(5);
-/// How often the gossip duty is told that calls reach a service's members, or fail to: a few times in the silence
-/// after which it would hide them.
+/// Shortest time between two reports to the gossip duty that calls reach a service's members, or two that they fail
+/// to: a few reports fit into the silence after which the gossip duty would hide the members.
 const CONTACT_REPORT_PERIOD: Duration = Duration::from_secs(2);
-/// A service that has not been called for so long is no longer watched.
+/// Time without a call after which a service is no longer watched.
 const UNWATCH_AFTER: Duration = Duration::from_secs(600);
 
-/// Schemas of at most so many services are watched whole, so that no client's first call waits.
+/// Maximum number of services in a schema for which all of them are watched, so that no client's first call waits.
 const MAX_EAGER_SERVICES: usize = 32;
 
 impl CallIngress {
-    /// A configuration is in force from now on.
+    /// Applies a configuration that has come into force.
     pub async fn configure(&self, config: &Arc<ConfigInForce>) {
         self.context.metrics.control.set_revision(config.revision());
         for service in self.pinned_services() {
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Services watched whether they are called or not: all of a small schema, else what the upstream
-    /// beside the node calls.
+    /// Returns the services that are watched whether they are called or not: all services of a small schema, else those
+    /// that the upstream beside the node calls.
     fn pinned_services(&self) -> Vec<ServiceName> {
         let Some(config) = self.context.config.load() else { return Vec::new() };
         if config.service_count() <= MAX_EAGER_SERVICES {
@@ -45,8 +45,8 @@
         own.map(|service| config.callees(&service)).unwrap_or_default()
     }
 
-    /// Watches what the operations of the upstream beside the node call whenever another one is there, so that
-    /// members are known before its first call.
+    /// Watches the services that the upstream beside the node calls, whenever its service changes, so that
+    /// their members are known before its first call.
     pub async fn watch_callees(self: Rc<Self>) {
         loop {
             self.guard.service_changed.notified().await;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Acts on the pool of `service`, if the node watches it.
+    /// Applies `act` to the pool of `service`; returns `None` if the node does not watch the service.
     pub(super) fn with_pool<T>(
         &self,
         service: &ServiceName,
@@ -69,7 +69,8 @@
         self.pools.borrow_mut().get_mut(service).map(|entry| act(&mut entry.pool))
     }
 
-    /// Whether `service` has no upstream that stays, and this node has watched it for long enough to know.
+    /// Whether `service` has no upstream other than departing ones, and this node has watched it for at least
+    /// [`FIRST_MEMBERS_WAIT`], long enough to know.
     pub(super) fn has_no_upstream(&self, service: &ServiceName) -> bool {
         let now = self.context.now();
         let pools = self.pools.borrow();
@@ -77,7 +78,7 @@
         entry.pool.is_empty() && now.since(entry.watched_since) >= FIRST_MEMBERS_WAIT
     }
 
-    /// Watches `service` from now on. Returns since when it has been watched.
+    /// Starts watching `service` unless it is watched already. Returns the time since which it has been watched.
     pub(super) async fn watch(&self, service: &ServiceName) -> MonotonicTime {
         let now = self.context.now();
         if let Some((watched_since, is_report_due)) = self.record_use(service, now) {
@@ -104,7 +105,8 @@
         now
     }
 
-    /// Since when `service` is watched, and whether it was last called a while ago.
+    /// Records a use of `service`. Returns the time since which it has been watched, and whether its use is to be
+    /// reported to the gossip duty again; `None` if the node does not watch it.
     fn record_use(
         &self,
         service: &ServiceName,
@@ -120,7 +122,8 @@
         Some((entry.watched_since, is_report_due))
     }
 
-    /// Tells the gossip duty whether a call has reached a member of `service`, unless it has just been told.
+    /// Reports to the gossip duty whether a call has reached a member of `service`, unless the same was reported less
+    /// than [`CONTACT_REPORT_PERIOD`] ago.
     pub(super) async fn report_contact(&self, service: &ServiceName, reached: bool) {
         if !self.is_contact_report_due(service, reached) {
             return;
@@ -145,7 +148,7 @@
         is_due
     }
 
-    /// Stops watching services that have not been called for long, unless they are pinned.
+    /// Stops watching services that have not been called for [`UNWATCH_AFTER`], unless they are pinned.
     pub async fn unwatch_idle(&self) {
         let now = self.context.now();
         let pinned = self.pinned_services();
@@ -163,7 +166,7 @@
         self.context.tell_gossip(GossipCommand::Watch(services)).await;
     }
 
-    /// Takes in the members of a watched service.
+    /// Updates the members of a watched service.
     pub fn update_members(&self, service: &ServiceName, members: &Arc<[MemberRecord]>) {
         let now = self.context.now();
         self.member_counts.borrow_mut().insert(service.clone(), MemberCounts::of(members));
@@ -173,7 +176,7 @@
     }
 }
 
-/// What routing needs of a member; dead members are left out.
+/// Converts a member to the information that routing needs; returns `None` for a dead member.
 fn upstream_info(member: &MemberRecord) -> Option<UpstreamInfo> {
     if member.state == MemberState::Dead {
         return None;
--- a/crates/coltsfoot-node/src/dispatch/ingress/request_record.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/request_record.rs
@@ -1,4 +1,4 @@
-//! What the journal and the metrics are told of the end of a request.
+//! Events and metrics on the outcome of a request.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,7 +19,7 @@
 use crate::clock::micros;
 
 impl CallIngress {
-    /// Routes a call that came in at `received`, and takes note of how it ended.
+    /// Routes a call that was received at `received`, and records its outcome.
     pub(super) async fn route_and_record(
         self: &Rc<Self>,
         call: &RoutedCall,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A refusal of a client's request before any attempt, counted and told.
+    /// Refuses a client's request before any attempt, and records the refusal in the metrics and the journal.
     pub(super) fn refuse_entry(
         &self,
         request: RequestId,
--- a/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens of retry accounts: taken here, or asked of the node that keeps the account.
+//! Tokens of retry accounts: acquired locally, or requested from the node that keeps the account.
 
 use std::time::Duration;
 
@@ -36,11 +36,11 @@
     }
 }
 
-/// Longest wait for the account's node; after it there is no retry.
+/// Longest wait for the node that keeps the account; the call is not retried after it.
 const ACQUIRE_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl CallIngress {
-    /// Takes a token from a retry account kept at this node.
+    /// Acquires a token from a retry account kept at this node.
     pub fn acquire_own_token(&self, request: RequestId, take_id: u64) -> TokenAnswer {
         let mut accounts = self.accounts.borrow_mut();
         let answer = match accounts.acquire(self.context.now(), request, take_id) {
@@ -56,10 +56,10 @@
         TokenAnswer { answer, remaining: accounts.remaining(request).unwrap_or_default() }
     }
 
-    /// Takes a token for one retry of `call` from its account.
+    /// Acquires a token for one retry of `call` from its account. Returns whether it was granted.
     pub(super) async fn acquire_token(&self, call: &RoutedCall) -> bool {
         if !self.context.control.is_on() {
-            // The uncontrolled half of a measurement retries at each hop, bounded by its policy.
+            // With control off, for the uncontrolled half of a measurement, each hop retries, bounded by its policy.
             return true;
         }
         let Some(account) = call.account else {
@@ -71,7 +71,7 @@
         token.is_some_and(|token| token.answer == TakeAnswer::Granted)
     }
 
-    /// Takes note that a failed attempt is not repeated, where the cause is a limit and not the answer.
+    /// Records that a failed attempt is not retried, if the cause is a limit and not the answer.
     pub(super) fn record_give_up(&self, call: &RoutedCall, cause: GiveUpCause) {
         match cause {
             GiveUpCause::NotRepeatable => self.deny_retry(call, DenialReason::NonRepeatable),
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Takes note that the guard has let a retry pass no more.
+    /// Records that the guard rejected a retry.
     pub(super) fn record_throttled(&self, call: &RoutedCall) {
         self.deny_retry(call, DenialReason::Throttled);
     }
 
-    /// A denial by this node and not by the account, which counts its own.
+    /// Records a denial by this node. Denials by the account are counted at the node that keeps it.
     fn deny_retry(&self, call: &RoutedCall, reason: DenialReason) {
         self.context.metrics.retries.denied(reason);
         self.emit_denied(call, reason);
--- a/crates/coltsfoot-node/src/dispatch/ingress/root_shedding.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/root_shedding.rs
@@ -1,4 +1,4 @@
-//! What is refused where it enters because it would be refused deeper down.
+//! Refusal at entry of requests that would be refused further down the call chain.
 
 use coltsfoot_wire::peer::LevelNote;
 use coltsfootroute::{
@@ -10,7 +10,7 @@
 use super::{call_ingress::CallIngress, incoming_call::IncomingCall, routed_call::RoutedCall};
 
 impl CallIngress {
-    /// Takes in the levels that came with a reply.
+    /// Records the shed levels that came with a reply.
     pub fn observe_levels(&self, notes: &[LevelNote]) {
         let now = self.context.now();
         let mut root = self.root.borrow_mut();
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Takes in which services an answer to `call` came from, all those below included.
+    /// Records the services that took part in an answer to `call`, including all those further down.
     pub fn observe_reached(&self, call: &RoutedCall, notes: &[LevelNote]) {
         // In the product's own interface the schema declares the calls.
         if call.head.is_some() && !notes.is_empty() {
@@ -36,9 +36,9 @@
         level.admitted_fraction(importance) < 1.0
     }
 
-    /// Refuses work here that would be refused deeper down.
+    /// Decides whether to refuse a request at entry because it would be refused further down; `None` admits it.
     pub fn shed_at_root(&self, call: &IncomingCall, importance: Importance) -> Option<ShedRefusal> {
-        // A call of a service without upstreams is told so where it is routed, at no cost.
+        // A call to a service without upstreams is refused by routing, at no cost.
         if !self.context.control.is_on() || self.has_no_upstream(&call.service) {
             return None;
         }
--- a/crates/coltsfoot-node/src/dispatch/ingress/route_progress.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/route_progress.rs
@@ -1,4 +1,4 @@
-//! How far the attempts of one call have come.
+//! Progress of the attempts of one call.
 
 use coltsfoot_wire::peer::{CallReply, ReplyBody};
 use coltsfootroute::{
@@ -7,7 +7,7 @@
     retry::RepeatCause,
 };
 
-/// How far the attempts of one call have come.
+/// Progress of the attempts of one call.
 #[derive(Default)]
 pub(super) struct RouteProgress {
     /// Nodes tried, in order.
@@ -18,20 +18,20 @@
     may_have_run: bool,
     /// Attempts that an upstream has rejected.
     pub(super) rejections: u32,
-    /// Nodes whose upstream some attempt has reached or may have, if only to be rejected.
+    /// Nodes whose upstream an attempt has reached or may have reached, including those that rejected it.
     pub(super) reached: Vec<NodeId>,
-    /// What came of the last attempt that reached an upstream, or may have; why there is a further one, if there is.
+    /// Result of the last attempt that reached an upstream or may have; the cause of the next attempt, if there is one.
     repeat_cause: Option<RepeatCause>,
-    /// Nodes that would let no repeat pass for now.
+    /// Nodes whose guard currently rejects retries.
     pub(super) denied: Vec<NodeId>,
-    /// Nodes that have no upstream for the call, or stop: they say the same when they are asked again.
+    /// Nodes that have no upstream for the call, or are stopping: another attempt there would be refused again.
     pub(super) absent: Vec<NodeId>,
-    /// The failure that tells most: the last answer of an upstream, or else the last refusal.
+    /// Most informative failure: the last answer of an upstream, or else the last refusal.
     failure: Option<CallReply>,
 }
 
 impl RouteProgress {
-    /// Takes note of how far the last attempt came. Returns why it was made, if it has repeated another one.
+    /// Records how far the last attempt got. Returns its cause if it repeated another attempt.
     pub(super) fn record_reached(&mut self, reply: &CallReply) -> Option<RepeatCause> {
         let may_have_run = reply.outcome == CallOutcome::Unknown;
         self.may_have_run |= may_have_run;
@@ -44,26 +44,26 @@
         self.repeat_cause.replace(repeat_cause(reply))
     }
 
-    /// Takes note of a guard that has just been asked and has no upstream for the call.
+    /// Records that the guard tried last has no upstream for the call, if `reply` says so.
     pub(super) fn record_absent(&mut self, reply: &CallReply) {
         if is_absent(reply) {
             self.absent.extend(self.tried.last());
         }
     }
 
-    /// The guard tried last lets no repeat pass for now. Another may: upstreams that fail send their repeats to others,
-    /// whose own calls have earned less.
+    /// Records that the guard tried last currently rejects retries. Another may admit them: upstreams that fail send
+    /// their retries to other guards, whose own calls have earned less retry allowance.
     pub(super) fn record_denied(&mut self) {
         self.denied.extend(self.tried.last());
         self.reroutes += 1;
     }
 
-    /// Whether some attempt has reached an upstream, so that the next one is a repeat for its service.
+    /// Whether an attempt has reached an upstream or may have, so that the next one is a retry for its service.
     pub(super) fn is_retry(&self) -> bool {
         !self.reached.is_empty()
     }
 
-    /// Attempts that were not rerouted.
+    /// Returns the number of attempts that were not rerouted.
     pub(super) fn attempts(&self) -> u32 {
         u32::try_from(self.tried.len() - self.reroutes).unwrap_or(u32::MAX)
     }
@@ -74,7 +74,7 @@
         most_attempts.is_some_and(|most| reached >= most)
     }
 
-    /// Keeps the reply to a failed attempt while another is made.
+    /// Keeps the reply to a failed attempt while another is made; a refusal does not replace an upstream's answer.
     pub(super) fn keep_failure(&mut self, reply: CallReply) {
         let has_answer = self.failure.as_ref().is_some_and(is_answer);
         if is_answer(&reply) || !has_answer {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// The end of a call whose last attempt failed. An upstream's own answer tells its caller more than the
-    /// refusal of a later attempt, and any failure more than that it is not repeated.
+    /// Summarizes a call whose last attempt failed. An upstream's own answer is more useful to the caller than the
+    /// refusal of a later attempt, and any failure is more useful than the denial of a retry.
     pub(super) fn finish_failed(mut self, last: CallReply) -> RouteSummary {
         let is_denied = last.reason() == Some(RefusalReason::RetryBudget);
         let kept =
@@ -103,7 +103,7 @@
     }
 }
 
-/// Whether the guard has refused the call, unsent, for want of an upstream.
+/// Whether the guard refused the call, without sending it, for lack of an upstream or because it is leaving.
 fn is_absent(reply: &CallReply) -> bool {
     let is_unsent = !reply.reached_upstream && reply.outcome == CallOutcome::NotRun;
     is_unsent && matches!(reply.reason(), Some(RefusalReason::NoUpstream | RefusalReason::Leaving))
@@ -125,10 +125,10 @@
     matches!(reply.body, ReplyBody::Answer { .. })
 }
 
-/// How a call ended.
+/// Final reply to a call and number of its attempts.
 pub struct RouteSummary {
-    /// The last answer, with an outcome that speaks of all attempts.
+    /// Reply to the caller, with an outcome that covers all attempts.
     pub reply: CallReply,
-    /// Upstreams tried.
+    /// Number of attempts made, including rerouted ones.
     pub attempts: u32,
 }
--- a/crates/coltsfoot-node/src/dispatch/ingress/routed_call.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/routed_call.rs
@@ -1,4 +1,4 @@
-//! A call on its way to an upstream.
+//! A call to be routed to an upstream.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
     time::MonotonicTime,
 };
 
-/// Taken off the remaining time at each hop, so that a refusal from further down arrives in time.
+/// Time subtracted from the remaining time at each hop, so that a refusal from further down arrives in time.
 const HOP_MARGIN: Duration = Duration::from_millis(2);
 
-/// A call on its way to an upstream, with what the client request brings along.
+/// A call to be routed to an upstream, with the attributes of its client request.
 #[derive(Clone, Debug)]
 pub struct RoutedCall {
     /// Client request.
@@ -32,15 +32,15 @@
     pub account: Option<NodeId>,
     /// Hash of the client.
     pub client: u64,
-    /// Team whose client request it is; `None` where no key was needed.
+    /// Team that sent the client request; `None` if no key was needed.
     pub team: Option<TeamName>,
-    /// Whether the call is nested below work that runs already.
+    /// Whether the call is nested below a call that is already running.
     pub under_way: bool,
-    /// Whether the call above, or one above that, is not the first attempt.
+    /// Whether any call above this one is a retry.
     pub is_repeat: bool,
     /// Whether the operation may run again.
     pub repeatable: bool,
-    /// Attempts that the operation allows; `None` where it sets no bound.
+    /// Maximum number of attempts that the operation allows; `None` if it sets no limit.
     pub most_attempts: Option<u32>,
     /// Idempotency key.
     pub key: Option<String>,
@@ -53,7 +53,7 @@
 }
 
 impl RoutedCall {
-    /// The request to the guard of an upstream, as of `now`.
+    /// Builds the request to the guard of an upstream, with the time remaining at `now`.
     pub(super) fn to_request(
         &self,
         now: MonotonicTime,
--- a/crates/coltsfoot-node/src/dispatch/ingress/service_pool.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/service_pool.rs
@@ -1,4 +1,4 @@
-//! The upstreams of a called service, and since when they are watched.
+//! The upstreams of a called service, with the times of its use and its reports.
 
 use coltsfootroute::{routing::UpstreamPool, time::MonotonicTime};
 
@@ -6,14 +6,14 @@
 pub struct ServicePool {
     /// The upstreams.
     pub pool: UpstreamPool,
-    /// Since when this node watches the service.
+    /// Time since which this node has watched the service.
     pub watched_since: MonotonicTime,
-    /// When the service was last called.
+    /// Time at which the service was last called.
     pub called: MonotonicTime,
-    /// When the gossip duty was last told that the service is in use.
+    /// Time of the last report to the gossip duty that the service is in use.
     pub(super) use_reported: MonotonicTime,
-    /// When the gossip duty was last told that a call has reached a member.
+    /// Time of the last report to the gossip duty that a call reached a member.
     pub(super) reached_reported: Option<MonotonicTime>,
-    /// When it was last told that a call has failed to.
+    /// Time of the last report to the gossip duty that a call failed to reach a member.
     pub(super) unreached_reported: Option<MonotonicTime>,
 }
--- a/crates/coltsfoot-node/src/dispatch/ingress/team_access.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/team_access.rs
@@ -1,4 +1,4 @@
-//! Whose request it is that enters here, and whether its key stands.
+//! Identification of the team that sent a request, and check of its key.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,26 +13,26 @@
 };
 use crate::config::ConfigInForce;
 
-/// A key that is not known here is denied where the configuration was the newest so short a time ago; else it may be one
-/// that was added since.
+/// Longest time since the configuration was proved to be the newest at which an unknown key is denied. If the proof is
+/// older, the key may have been added since.
 const MAX_UNKNOWN_KEY_PROOF_AGE: Duration = Duration::from_secs(2);
 
-/// The configuration in force, and how old the proof is that it is the newest, where one is needed.
+/// Configuration in force, with the age of the proof that it is the newest, if such a proof is needed.
 pub(super) struct ConfigSnapshot {
     pub(super) config: Arc<ConfigInForce>,
     proof_age: Option<Duration>,
 }
 
 impl CallIngress {
-    /// The configuration in force with its proof.
+    /// Returns the configuration in force with the age of its proof.
     pub(super) fn config_snapshot(&self) -> Result<ConfigSnapshot, RefusalReason> {
-        // In this order: the age of a proof holds for any later configuration as well.
+        // The age must be read first: it is also valid for any later configuration.
         let proof_age =
             self.context.proof_time.and_then(|_| self.context.freshness.age(self.context.now()));
         Ok(ConfigSnapshot { config: self.context.config.in_force()?, proof_age })
     }
 
-    /// The team whose request a call is, by its key; `None` where it needs no key.
+    /// Finds the team that sent a call by its key; `None` if the call needs no key.
     pub(super) fn find_team(
         &self,
         call: &IncomingCall,
--- a/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
@@ -1,4 +1,4 @@
-//! Taking the credit for a request of a rate-limited team, here or from the node that owns it.
+//! Acquisition of credit for requests of rate-limited teams, locally or from the node that owns the credit.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,34 +24,35 @@
     metrics::ControlKind,
 };
 
-/// Longest wait for an owner's answer: many times what hosts of one region need.
+/// Longest wait for an owner's answer: many times what hosts within one region need.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause after a question that nobody has answered.
+/// Pause after a request for credit that no owner has answered.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(50);
-/// Longest that a request waits for credit: time for one question to an owner and one to another.
+/// Longest time that a client request waits for credit: enough to query one owner and then another.
 const MAX_CREDIT_WAIT: Duration = Duration::from_millis(600);
-/// Longest time until there is credit that is waited for, and not refused: a team that sends what it may is not refused for
-/// requests that come close together.
+/// Longest time until new credit for which a request waits instead of being refused: a team within its rate is not
+/// refused for requests that arrive close together.
 const MAX_REFILL_WAIT: Duration = Duration::from_millis(200);
-/// Services whose members may own a team's credit; more than one only where the first has none.
+/// Maximum number of services whose members may own a team's credit; a further one is used only if those before it
+/// have no members.
 const MAX_OWNING_SERVICES: usize = 3;
 
-/// Credit for one request, to be given back if it does not run.
+/// Credit for one request, to be refunded if the request does not run.
 pub(super) struct AcquiredCredit {
     quota: Rc<TeamQuota>,
 }
 
-/// A request got no credit.
+/// Denial of credit for a request.
 pub(super) struct CreditDenial {
-    /// Why.
+    /// Reason of the denial.
     pub(super) reason: RefusalReason,
-    /// When there is credit again, if that is known.
+    /// Time until there is credit again, if known.
     pub(super) wait: Option<Duration>,
 }
 
 impl CallIngress {
-    /// Takes the credit for one request of `team`; waits for an owner's answer where there is none here. `None` for a team
-    /// without a limit.
+    /// Acquires the credit for one request of `team`; waits for an owner's answer if there is no local credit. Returns
+    /// `None` if the team has no limit or control is off.
     pub(super) async fn acquire_credit(
         self: &Rc<Self>,
         team: &TeamEntry,
@@ -68,12 +69,12 @@
         self.await_credit(&team.name, quota).await.map(Some)
     }
 
-    /// Gives credit back for a request that has not run.
+    /// Refunds the credit of a request that has not run.
     pub(super) fn refund_credit(&self, credit: &AcquiredCredit) {
         credit.quota.credit.borrow_mut().refund(self.context.now());
     }
 
-    /// Forgets teams that send nothing any more.
+    /// Evicts the quotas of teams that no longer send requests.
     pub fn evict_idle_quotas(&self) {
         let now = self.context.now();
         let mut quotas = self.quotas.borrow_mut();
@@ -99,10 +100,10 @@
             if quota.credit.borrow_mut().acquire(now) {
                 return Ok(AcquiredCredit { quota });
             }
-            // Who has just been told that there is none does not ask again before.
+            // While the owner's last answer says that there is no credit, it is not queried again.
             let exhausted_for = quota.credit.borrow().exhausted_for(now);
             if let Some(wait) = exhausted_for {
-                // As many wait as credit comes for.
+                // Only as many requests wait as the credit due within `MAX_REFILL_WAIT` can serve.
                 if wait * quota.waiting.get() > MAX_REFILL_WAIT || Instant::now() + wait >= until {
                     let reason = RefusalReason::RateLimited;
                     return Err(CreditDenial { reason, wait: exhausted_for });
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Asks an owner for what is wanted, if anything is and none is being asked.
+    /// Requests the wanted credit from an owner in the background, if any is wanted and no request is pending.
     fn request_ahead(self: &Rc<Self>, team: &TeamName, quota: &Rc<TeamQuota>) {
         if quota.is_requesting.get() {
             return;
@@ -139,7 +140,8 @@
             }
             quota.answered.notify_waiters();
             if grant.is_none() {
-                // Where nothing listens the answer is there at once: asked again without a pause it would be asked for ever.
+                // If nothing listens at the owner's address, the request fails immediately; without a pause it would be
+                // repeated in a tight loop.
                 sleep(UNANSWERED_PAUSE).await;
             }
             quota.is_requesting.set(false);
@@ -147,7 +149,8 @@
         });
     }
 
-    /// Asks who owns the credit of `team`, as far as this node knows; `None` if nobody says so of itself.
+    /// Requests credit from the node that owns the credit of `team`, as far as this node knows; `None` if no node
+    /// confirms that it is the owner.
     async fn request_credit(&self, team: &TeamName, wish: CreditWish) -> Option<CreditGrant> {
         for service in self.owning_services(team) {
             self.watch(&service).await;
@@ -162,7 +165,8 @@
         None
     }
 
-    /// Services of which one member owns the credit of `team`: the first that has members.
+    /// Returns the services of which a member may own the credit of `team`, in order; the owner is a member of the
+    /// first that has members.
     fn owning_services(&self, team: &TeamName) -> Vec<ServiceName> {
         let Some(config) = self.context.config.load() else { return Vec::new() };
         let mut ranked = ranked_services(team, config.services());
@@ -208,7 +212,7 @@
     }
 }
 
-/// A request that waits for credit; counted until it is dropped.
+/// Counts a request as waiting for credit until it is dropped.
 struct WaitingMark {
     quota: Rc<TeamQuota>,
 }
