--- a/crates/coltsfoot-node/src/dispatch.rs
+++ b/crates/coltsfoot-node/src/dispatch.rs
@@ -23,7 +23,7 @@
 pub use dispatch_command::DispatchCommand;
 pub use dispatch_handle::DispatchHandle;
 pub use dispatch_parts::DispatchParts;
-pub use dispatch_thread::{DispatchThread, FrontDoor};
+pub use dispatch_thread::{BoundFront, DispatchThread};
 pub use entry_port::{EntryPort, EntryReply};
 pub use guard::{UpstreamHeartbeat, UpstreamReceipt, end_to_end};
 pub use ingress::{CallOrigin, IncomingCall};
--- a/crates/coltsfoot-node/src/dispatch/dispatch_command.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_command.rs
@@ -36,7 +36,7 @@
     /// Report which requests are held back.
     Quarantine(oneshot::Sender<HttpReply>),
     /// Let a request go that is held back.
-    LetGo(RequestFingerprint, oneshot::Sender<HttpReply>),
+    Release(RequestFingerprint, oneshot::Sender<HttpReply>),
     /// Report the state of the node.
     Status(oneshot::Sender<HttpReply>),
     /// Begin a planned stop; the sender is dropped when nothing is in flight any more.
--- a/crates/coltsfoot-node/src/dispatch/dispatch_handle.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_handle.rs
@@ -33,7 +33,7 @@
         let (sender, receiver) = oneshot::channel();
         let command = DispatchCommand::Call(Box::new(call), sender);
         if let Err(err) = self.commands.try_send(command) {
-            return refused_by_ring(&err);
+            return refuse_unsent(&err);
         }
         receiver.await.unwrap_or_else(|_| {
             HttpReply::refusal(
@@ -66,8 +66,8 @@
     }
 
     /// Lets a request go that is held back.
-    pub async fn let_go(&self, fingerprint: RequestFingerprint) -> HttpReply {
-        self.ask(|reply| DispatchCommand::LetGo(fingerprint, reply)).await
+    pub async fn release(&self, fingerprint: RequestFingerprint) -> HttpReply {
+        self.ask(|reply| DispatchCommand::Release(fingerprint, reply)).await
     }
 
     /// Sends a command that needs no reply; waits while the ring is full.
@@ -82,11 +82,11 @@
     ) -> HttpReply {
         let (sender, receiver) = oneshot::channel();
         self.tell(command(sender)).await;
-        receiver.await.unwrap_or_else(|_| stopping())
+        receiver.await.unwrap_or_else(|_| stopping_reply())
     }
 }
 
-fn refused_by_ring(err: &mpsc::error::TrySendError<DispatchCommand>) -> HttpReply {
+fn refuse_unsent(err: &mpsc::error::TrySendError<DispatchCommand>) -> HttpReply {
     let reason = match err {
         mpsc::error::TrySendError::Full(_) => RefusalReason::Overload,
         mpsc::error::TrySendError::Closed(_) => RefusalReason::Leaving,
@@ -94,7 +94,7 @@
     HttpReply::refusal(RequestId(0), reason, CallOutcome::NotRun, RETRY_AFTER)
 }
 
-fn stopping() -> HttpReply {
+fn stopping_reply() -> HttpReply {
     let body = serde_json::json!({ "message": "the node is stopping" });
     HttpReply::json(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
--- a/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
@@ -16,7 +16,7 @@
     dispatch_parts::DispatchParts,
     ingress::{CallOrigin, IncomingCall},
     links::{FinderStart, accept_peers, find_others, pull_config},
-    quarantine_body::{let_go_reply, quarantine_reply},
+    quarantine_body::{quarantine_reply, release_reply},
 };
 use crate::{
     border::{ClientFront, RepeatGuard},
@@ -25,12 +25,12 @@
 };
 
 /// Commands that wait for the dispatch duty at most; beyond them calls are refused.
-const COMMAND_RING: usize = 4_096;
+const MAX_QUEUED_COMMANDS: usize = 4_096;
 /// How often idle links are closed and silence of the upstream is noticed.
 const UPKEEP_PERIOD: Duration = Duration::from_secs(1);
 
 /// A client front and the listener that it serves.
-pub struct FrontDoor<F> {
+pub struct BoundFront<F> {
     /// The front.
     pub front: F,
     /// Open listener for clients.
@@ -42,8 +42,8 @@
 
 impl DispatchThread {
     /// The ring to the duty, made before the thread so that the other duties can be given the handle.
-    pub fn ring() -> (DispatchHandle, mpsc::Receiver<DispatchCommand>) {
-        let (sender, receiver) = mpsc::channel(COMMAND_RING);
+    pub fn channel() -> (DispatchHandle, mpsc::Receiver<DispatchCommand>) {
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_COMMANDS);
         (DispatchHandle::new(sender), receiver)
     }
 
@@ -55,13 +55,13 @@
     /// If the runtime or the thread cannot be created.
     pub fn start<F: ClientFront>(
         parts: DispatchParts,
-        front: Option<FrontDoor<F>>,
+        front: Option<BoundFront<F>>,
         listener: TcpListener,
         commands: mpsc::Receiver<DispatchCommand>,
     ) -> io::Result<()> {
         listener.set_nonblocking(true)?;
-        if let Some(door) = &front {
-            door.listener.set_nonblocking(true)?;
+        if let Some(front) = &front {
+            front.listener.set_nonblocking(true)?;
         }
         let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
         thread::Builder::new().name("dispatch".to_owned()).spawn(move || {
@@ -74,7 +74,7 @@
 
 async fn run<F: ClientFront>(
     parts: DispatchParts,
-    front: Option<FrontDoor<F>>,
+    front: Option<BoundFront<F>>,
     listener: TcpListener,
     mut commands: mpsc::Receiver<DispatchCommand>,
 ) {
@@ -82,7 +82,7 @@
     let duty = Rc::new(DispatchDuty::new(parts));
     // The listener is a bound socket in non-blocking mode, which is all the conversion asks for.
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-    if let Some(FrontDoor { front, listener }) = front {
+    if let Some(BoundFront { front, listener }) = front {
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
         spawn_local(front.serve(listener, duty.entry()));
     }
@@ -90,7 +90,7 @@
     duty.start_tasks(start);
     while let Some(command) = commands.recv().await {
         // Each command is a task of its own: none may hold up the ring.
-        spawn_local(duty.clone().obey(command));
+        spawn_local(duty.clone().execute(command));
     }
 }
 
@@ -117,7 +117,7 @@
         self.ingress.clone().find_members().await;
     }
 
-    async fn obey(self: Rc<Self>, command: DispatchCommand) {
+    async fn execute(self: Rc<Self>, command: DispatchCommand) {
         match command {
             DispatchCommand::Call(call, reply) => self.serve(*call, reply).await,
             DispatchCommand::Announce(announcement, reply) => {
@@ -141,8 +141,8 @@
             DispatchCommand::Quarantine(reply) => {
                 let _ = reply.send(quarantine_reply(&self.quarantine));
             }
-            DispatchCommand::LetGo(fingerprint, reply) => {
-                let _ = reply.send(let_go_reply(&self.quarantine, fingerprint).await);
+            DispatchCommand::Release(fingerprint, reply) => {
+                let _ = reply.send(release_reply(&self.quarantine, fingerprint).await);
             }
             DispatchCommand::Status(reply) => {
                 let _ = reply.send(self.status().await);
--- a/crates/coltsfoot-node/src/dispatch/entry_port.rs
+++ b/crates/coltsfoot-node/src/dispatch/entry_port.rs
@@ -27,7 +27,7 @@
     /// The answer or refusal.
     pub reply: CallReply,
     /// Whether the connection is to be closed: the node leaves.
-    pub is_last: bool,
+    pub closes_connection: bool,
 }
 
 /// The way into the dispatch duty for a client front on its thread.
@@ -83,23 +83,23 @@
                 }
             }
         };
-        EntryReply { reply, is_last: self.is_leaving() }
+        EntryReply { reply, closes_connection: self.is_leaving() }
     }
 
     /// Tells the journal of a request that was answered with `status` before a service was found for it.
-    pub fn note_denied(&self, request: RequestId, status: u16) {
+    pub fn record_denied(&self, request: RequestId, status: u16) {
         let revision = self.context.revision();
         self.context.events.emit(EventKind::RequestDenied { request, status, revision });
     }
 
     /// Takes in a heartbeat of the upstream beside the node. Returns once no new work reaches an upstream
     /// that leaves.
-    pub async fn hear(&self, heartbeat: UpstreamHeartbeat) -> UpstreamReceipt {
+    pub async fn record_heartbeat(&self, heartbeat: UpstreamHeartbeat) -> UpstreamReceipt {
         self.guard.hear(heartbeat).await
     }
 
     /// The instance has left, or is about to: nothing is dispatched to it from now on.
-    pub async fn leave(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
+    pub async fn record_departure(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
         self.guard.hear_leave(instance).await
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/node_status.rs
+++ b/crates/coltsfoot-node/src/dispatch/node_status.rs
@@ -14,12 +14,12 @@
 use crate::http::HttpReply;
 
 /// Longest wait for the gossip duty's part of the state.
-const GOSSIP_WAIT: Duration = Duration::from_millis(500);
+const GOSSIP_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl DispatchDuty {
     /// The state of the node, for operators.
     pub(super) async fn status(&self) -> HttpReply {
-        let membership = timeout(GOSSIP_WAIT, self.context.ask_gossip()).await.ok().flatten();
+        let membership = timeout(GOSSIP_TIMEOUT, self.context.ask_gossip()).await.ok().flatten();
         HttpReply::json(StatusCode::OK, &self.status_body(membership))
     }
 
--- a/crates/coltsfoot-node/src/dispatch/quarantine_body.rs
+++ b/crates/coltsfoot-node/src/dispatch/quarantine_body.rs
@@ -33,7 +33,7 @@
 }
 
 /// Lets a request go.
-pub(super) async fn let_go_reply(
+pub(super) async fn release_reply(
     desk: &Rc<QuarantineDesk>,
     fingerprint: RequestFingerprint,
 ) -> HttpReply {
--- a/crates/coltsfoot-node/src/dispatch/status_body.rs
+++ b/crates/coltsfoot-node/src/dispatch/status_body.rs
@@ -9,7 +9,7 @@
 use super::ingress::MemberCounts;
 
 /// Upstreams named one by one in a pool, at most.
-const MAX_NAMED: usize = 32;
+const MAX_LISTED_UPSTREAMS: usize = 32;
 
 /// The state of a node.
 #[derive(serde::Serialize)]
@@ -99,7 +99,7 @@
     chosen_far: u64,
     ejections: u64,
     /// The first of those that don't serve at full weight.
-    not_serving: Vec<NamedUpstream>,
+    not_serving: Vec<ListedUpstream>,
 }
 
 #[derive(Default, serde::Serialize)]
@@ -113,7 +113,7 @@
 }
 
 #[derive(serde::Serialize)]
-struct NamedUpstream {
+struct ListedUpstream {
     node: String,
     phase: &'static str,
     weight_percent: u32,
@@ -134,7 +134,7 @@
             chosen_near: status.chosen_near,
             chosen_far: status.chosen_far,
             ejections: status.ejections,
-            not_serving: others.take(MAX_NAMED).map(NamedUpstream::from).collect(),
+            not_serving: others.take(MAX_LISTED_UPSTREAMS).map(ListedUpstream::from).collect(),
         }
     }
 }
@@ -152,7 +152,7 @@
     }
 }
 
-impl From<&UpstreamStatus> for NamedUpstream {
+impl From<&UpstreamStatus> for ListedUpstream {
     fn from(status: &UpstreamStatus) -> Self {
         Self {
             node: status.node.to_string(),
--- a/crates/coltsfoot-node/src/http/host_listener.rs
+++ b/crates/coltsfoot-node/src/http/host_listener.rs
@@ -143,7 +143,7 @@
         return not_found();
     };
     match text.parse() {
-        Ok(fingerprint) => ctx.state().dispatch.let_go(fingerprint).await,
+        Ok(fingerprint) => ctx.state().dispatch.release(fingerprint).await,
         Err(_) => bad_request("a fingerprint has 32 hexadecimal digits"),
     }
 }
--- a/crates/coltsfoot-node/src/process/node_process.rs
+++ b/crates/coltsfoot-node/src/process/node_process.rs
@@ -18,7 +18,7 @@
     border::{ClientFront, NodeBorder},
     clock::{MonotonicClock, wall_millis},
     config::{ConfigCell, ConfigHandle, ConfigThread, FreshnessCell},
-    dispatch::{DispatchCommand, DispatchHandle, DispatchThread, FrontDoor, NodeIdentity},
+    dispatch::{BoundFront, DispatchCommand, DispatchHandle, DispatchThread, NodeIdentity},
     gossip::GossipThread,
     http::HttpListener,
     journal::{EventJournal, EventSender, JournalHandle},
@@ -87,7 +87,7 @@
             events.clone(),
         )?;
 
-        let (dispatch, dispatch_ring) = DispatchThread::ring();
+        let (dispatch, dispatch_ring) = DispatchThread::channel();
         let (config, config_ring) = ConfigThread::ring();
         let (gossip, gossip_ring) = GossipThread::ring();
         let parts = NodeParts {
@@ -110,7 +110,7 @@
         };
         GossipThread::start(parts.gossip(), sockets.gossip, gossip_ring)?;
         let (client, door) = match border.front {
-            Some(front) => (None, Some(FrontDoor { front, listener: sockets.client })),
+            Some(front) => (None, Some(BoundFront { front, listener: sockets.client })),
             None => (Some(HttpListener::start_client(sockets.client, parts.client_state())?), None),
         };
         DispatchThread::start(parts.dispatch(), door, sockets.peer, dispatch_ring)?;
