--- a/crates/coltsfoot-node/src/dispatch.rs
+++ b/crates/coltsfoot-node/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! The dispatch duty: one thread that takes calls in, routes them, guards the upstream beside the node
-//! and talks to the other nodes.
+//! The dispatch duty: one thread that accepts and routes calls, guards the upstream beside the node and
+//! communicates with the other nodes.
 //!
-//! Its parts know one another in one direction only: `ingress`, what enters here, knows `guard`, what protects
-//! the upstream beside the node; both know `links`, the connections to other nodes, and all of them `context`,
-//! which holds no request. `dispatch_duty` joins them.
+//! Its parts depend on one another in one direction only: `ingress`, which accepts and routes calls, depends on
+//! `guard`, which protects the upstream beside the node; both depend on `links`, the connections to other nodes, and
+//! all of them on `context`, which holds no request. `dispatch_duty` assembles them.
 
 mod context;
 mod dispatch_command;
--- a/crates/coltsfoot-node/src/dispatch/dispatch_command.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_command.rs
@@ -1,4 +1,4 @@
-//! What the other duties ask of the dispatch duty.
+//! Commands to the dispatch duty.
 
 use std::sync::Arc;
 
@@ -10,35 +10,35 @@
 use super::{ingress::IncomingCall, links::UpstreamAnnouncement};
 use crate::{config::ConfigInForce, http::HttpReply};
 
-/// What the other duties ask of the dispatch duty.
+/// Command from another duty to the dispatch duty.
 pub enum DispatchCommand {
-    /// Serve a call.
+    /// Serves a call.
     Call(Box<IncomingCall>, oneshot::Sender<HttpReply>),
-    /// The upstream beside the node announces itself, or repeats its announcement as a heartbeat.
+    /// Announces the upstream beside the node, or repeats its announcement as a heartbeat.
     Announce(UpstreamAnnouncement, oneshot::Sender<HttpReply>),
-    /// The upstream beside the node leaves.
+    /// Deregisters the upstream beside the node when it leaves.
     Withdraw(oneshot::Sender<HttpReply>),
-    /// A configuration is in force from now on.
+    /// Applies a configuration that has come into force.
     Configure(Arc<ConfigInForce>),
-    /// The members of a service changed.
+    /// Updates the members of a service.
     Members(ServiceName, Arc<[MemberRecord]>),
-    /// Ask a peer for the configuration changes since a revision.
+    /// Requests the configuration changes since a revision from a peer.
     PullConfig {
         /// The peer.
         peer: NodeId,
         /// Revision in force here.
         since: u64,
-        /// Takes the encoded delta, or `None` if the peer did not answer.
+        /// Receives the encoded delta, or `None` if the peer did not answer.
         reply: oneshot::Sender<Option<Vec<u8>>>,
     },
-    /// Ask a peer which requests it holds back.
+    /// Requests the list of quarantined requests from a peer.
     PullQuarantine(NodeId),
-    /// Report which requests are held back.
+    /// Reports the quarantined requests.
     Quarantine(oneshot::Sender<HttpReply>),
-    /// Let a request go that is held back.
+    /// Releases a request from quarantine.
     Release(RequestFingerprint, oneshot::Sender<HttpReply>),
-    /// Report the state of the node.
+    /// Reports the state of the node.
     Status(oneshot::Sender<HttpReply>),
-    /// Begin a planned stop; the sender is dropped when nothing is in flight any more.
+    /// Begins a planned stop; the sender is dropped when no call is in flight any more.
     Drain(oneshot::Sender<()>),
 }
--- a/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
@@ -1,4 +1,4 @@
-//! The parts of the dispatch duty, and how they are joined.
+//! Assembly of the parts of the dispatch duty.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -25,7 +25,7 @@
 };
 use crate::config::proof_time;
 
-/// The parts of the dispatch duty. Each knows only those above it here.
+/// The parts of the dispatch duty. Each depends only on those listed above it.
 pub(super) struct DispatchDuty {
     pub(super) context: Rc<NodeContext>,
     pub(super) links: Rc<PeerLinks>,
@@ -38,7 +38,7 @@
 }
 
 impl DispatchDuty {
-    /// The parts of a node that has just started.
+    /// Creates the parts of a node that has just started.
     pub(super) fn new(parts: DispatchParts) -> Self {
         let context = Rc::new(NodeContext {
             clock: parts.clock,
@@ -92,7 +92,7 @@
         Self { context, links, introduction, introductions, quarantine, owner, guard, ingress }
     }
 
-    /// The way in for a client front.
+    /// Creates the entry port for a client front.
     pub(super) fn entry(&self) -> EntryPort {
         EntryPort::new(self.context.clone(), self.guard.clone(), self.ingress.clone())
     }
--- a/crates/coltsfoot-node/src/dispatch/dispatch_handle.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_handle.rs
@@ -1,4 +1,4 @@
-//! The way to the dispatch duty for the other threads.
+//! Handle by which the other threads send commands to the dispatch duty.
 
 use std::time::Duration;
 
@@ -13,22 +13,22 @@
 use super::{DispatchCommand, IncomingCall, UpstreamAnnouncement};
 use crate::http::HttpReply;
 
-/// When a caller may come back if the ring is full or the node stops.
+/// Time after which a caller may retry if the command queue is full or the node is stopping.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Sends commands to the dispatch duty over a bounded ring.
+/// Sends commands to the dispatch duty over a bounded queue.
 #[derive(Clone)]
 pub struct DispatchHandle {
     commands: mpsc::Sender<DispatchCommand>,
 }
 
 impl DispatchHandle {
-    /// A handle that sends to `commands`.
+    /// Creates a handle that sends to `commands`.
     pub fn new(commands: mpsc::Sender<DispatchCommand>) -> Self {
         Self { commands }
     }
 
-    /// Serves a call. A full ring refuses it at once, so that callers are not held back.
+    /// Serves a call. If the queue is full, refuses the call immediately, so that callers are not blocked.
     pub async fn call(&self, call: IncomingCall) -> HttpReply {
         let (sender, receiver) = oneshot::channel();
         let command = DispatchCommand::Call(Box::new(call), sender);
@@ -45,34 +45,34 @@
         })
     }
 
-    /// Passes on an announcement of the upstream beside the node.
+    /// Forwards an announcement of the upstream beside the node.
     pub async fn announce(&self, announcement: UpstreamAnnouncement) -> HttpReply {
         self.ask(|reply| DispatchCommand::Announce(announcement, reply)).await
     }
 
-    /// Passes on that the upstream beside the node leaves.
+    /// Deregisters the upstream beside the node when it leaves.
     pub async fn withdraw(&self) -> HttpReply {
         self.ask(DispatchCommand::Withdraw).await
     }
 
-    /// The state of the node.
+    /// Returns the state of the node.
     pub async fn status(&self) -> HttpReply {
         self.ask(DispatchCommand::Status).await
     }
 
-    /// Which requests are held back.
+    /// Returns the quarantined requests.
     pub async fn quarantine(&self) -> HttpReply {
         self.ask(DispatchCommand::Quarantine).await
     }
 
-    /// Lets a request go that is held back.
+    /// Releases a request from quarantine.
     pub async fn release(&self, fingerprint: RequestFingerprint) -> HttpReply {
         self.ask(|reply| DispatchCommand::Release(fingerprint, reply)).await
     }
 
-    /// Sends a command that needs no reply; waits while the ring is full.
+    /// Sends a command without waiting for a reply; waits while the queue is full.
     pub async fn tell(&self, command: DispatchCommand) {
-        // A closed ring means that the process stops.
+        // A closed queue means that the process is stopping.
         let _ = self.commands.send(command).await;
     }
 
--- a/crates/coltsfoot-node/src/dispatch/dispatch_parts.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_parts.rs
@@ -1,4 +1,4 @@
-//! What the dispatch duty is made of.
+//! Settings and shared components that the dispatch duty is built from.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,49 +17,49 @@
     store::StoreHandle,
 };
 
-/// What the dispatch duty is made of.
+/// Settings and shared components that the dispatch duty is built from.
 pub struct DispatchParts {
     /// Clock of the process.
     pub clock: MonotonicClock,
-    /// The node.
+    /// Identity of the node.
     pub identity: NodeIdentity,
     /// Whether load is controlled.
     pub control: ControlMode,
     /// Headers between node and upstream.
     pub dialect: UpstreamDialect,
-    /// What keeps non-repeatable work from running twice.
+    /// Mechanism that keeps non-repeatable work from running twice.
     pub repeat_guard: RepeatGuard,
-    /// What the guard's shed level follows.
+    /// Policy that determines the guard's shed level.
     pub shed_policy: ShedPolicy,
-    /// Bound on the retries into one service.
+    /// Limit on the retries to one service.
     pub throttle: ThrottleSettings,
     /// Configuration in force, written by the configuration duty.
     pub config: ConfigCell,
-    /// The newest proof that the configuration in force is the newest.
+    /// Latest proof that the configuration in force is the newest.
     pub freshness: FreshnessCell,
-    /// Time after which a key that was taken away runs nothing; `None`: no proof is needed.
+    /// Time after which a revoked key must no longer admit any call; `None` if no proof is needed.
     pub revoke_within: Option<Duration>,
-    /// Most bytes of a body.
+    /// Maximum size of a body in bytes.
     pub body_limit: usize,
-    /// Most calls waiting in front of the upstream.
+    /// Maximum number of calls queued for the upstream.
     pub queue: u32,
-    /// How a planned stop goes.
+    /// Settings of a planned stop.
     pub drain: DrainSettings,
-    /// How long a node that is to stop serves on as before, while clients hear that they should not come.
+    /// Time for which a stopping node continues to serve, while it tells clients not to send further requests.
     pub closing_time: Duration,
-    /// The platform's services.
+    /// Access to the platform's services.
     pub store: StoreHandle,
     /// Whether the settings name peers.
     pub has_peers: bool,
-    /// Whether the whole deployment starts with this node.
+    /// Whether this node starts as part of the first start of the whole deployment.
     pub first_start: bool,
-    /// Nodes that share the platform's rates.
+    /// Number of nodes that share the platform's rate limits.
     pub nodes: u32,
-    /// Commands to the gossip duty.
+    /// Sender of commands to the gossip duty.
     pub gossip: mpsc::Sender<GossipCommand>,
     /// Metrics of the node.
     pub metrics: Arc<NodeMetrics>,
-    /// Events of the node.
+    /// Sender of the node's events.
     pub events: EventSender,
     /// Seed of the random generator.
     pub seed: u64,
--- a/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
@@ -24,9 +24,9 @@
     metrics::{DutyMeter, NodeDuty},
 };
 
-/// Commands that wait for the dispatch duty at most; beyond them calls are refused.
+/// Maximum number of commands queued for the dispatch duty; calls beyond it are refused.
 const MAX_QUEUED_COMMANDS: usize = 4_096;
-/// How often idle links are closed and silence of the upstream is noticed.
+/// Period of the maintenance tasks, such as closing idle links and detecting a silent upstream.
 const UPKEEP_PERIOD: Duration = Duration::from_secs(1);
 
 /// A client front and the listener that it serves.
@@ -41,14 +41,15 @@
 pub struct DispatchThread;
 
 impl DispatchThread {
-    /// The ring to the duty, made before the thread so that the other duties can be given the handle.
+    /// Creates the command queue of the duty; this happens before the thread starts, so that the other duties can be
+    /// given the handle.
     pub fn channel() -> (DispatchHandle, mpsc::Receiver<DispatchCommand>) {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_COMMANDS);
         (DispatchHandle::new(sender), receiver)
     }
 
-    /// Starts the thread; it accepts peers on `listener`, clients on the listener of `front`, and ends with
-    /// the process.
+    /// Starts the thread, which accepts peers on `listener` and clients on the listener of `front`, and runs until
+    /// the process exits.
     ///
     /// # Errors
     ///
@@ -80,7 +81,7 @@
 ) {
     let start = FinderStart { has_peers: parts.has_peers, first_start: parts.first_start };
     let duty = Rc::new(DispatchDuty::new(parts));
-    // The listener is a bound socket in non-blocking mode, which is all the conversion asks for.
+    // The listener is a bound socket in non-blocking mode, which is all that the conversion requires.
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
     if let Some(BoundFront { front, listener }) = front {
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
@@ -89,13 +90,13 @@
     spawn_local(accept_peers(listener, duty.clone()));
     duty.start_tasks(start);
     while let Some(command) = commands.recv().await {
-        // Each command is a task of its own: none may hold up the ring.
+        // Each command runs in its own task, so that none blocks the queue.
         spawn_local(duty.clone().execute(command));
     }
 }
 
 impl DispatchDuty {
-    /// Starts what runs beside the calls.
+    /// Starts the background tasks.
     fn start_tasks(self: &Rc<Self>, start: FinderStart) {
         spawn_local(self.clone().upkeep());
         spawn_local(self.guard.clone().tick_gate());
@@ -110,7 +111,7 @@
         spawn_local(self.clone().find_nodes(start));
     }
 
-    /// Finds other nodes, then from time to time members of services of which none is known.
+    /// Finds other nodes, then periodically searches for members of watched services that have no known member.
     async fn find_nodes(self: Rc<Self>, start: FinderStart) {
         let (desk, store) = (self.introduction.clone(), self.introductions.clone());
         find_others(self.context.clone(), desk, store, start).await;
@@ -121,7 +122,7 @@
         match command {
             DispatchCommand::Call(call, reply) => self.serve(*call, reply).await,
             DispatchCommand::Announce(announcement, reply) => {
-                // The listener may have stopped waiting; nothing is owed to it then.
+                // The listener may have stopped waiting for the reply.
                 let _ = reply.send(self.guard.announce_upstream(announcement).await);
             }
             DispatchCommand::Withdraw(reply) => {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Serves a call, unless its caller goes away first.
+    /// Serves a call; cancels it if its caller disconnects first.
     async fn serve(self: Rc<Self>, call: IncomingCall, mut reply: oneshot::Sender<HttpReply>) {
         let answer = tokio::select! {
             answer = self.serve_origin(call) => answer,
--- a/crates/coltsfoot-node/src/dispatch/entry_port.rs
+++ b/crates/coltsfoot-node/src/dispatch/entry_port.rs
@@ -1,4 +1,4 @@
-//! The way into the dispatch duty for a client front on its thread.
+//! Interface of the dispatch duty for a client front that runs on its thread.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
@@ -18,19 +18,19 @@
 };
 use crate::config::ConfigInForce;
 
-/// Client of a nested call whose request is not known any more.
+/// Client address of a nested call whose client request is no longer known.
 const UNKNOWN_CLIENT: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
 
-/// What a front tells its client of a request.
+/// Reply to a request that a client front returns to its client.
 #[derive(Clone, Debug)]
 pub struct EntryReply {
     /// The answer or refusal.
     pub reply: CallReply,
-    /// Whether the connection is to be closed: the node leaves.
+    /// Whether the front closes the connection after the reply, because the node is leaving.
     pub closes_connection: bool,
 }
 
-/// The way into the dispatch duty for a client front on its thread.
+/// Interface of the dispatch duty for a client front that runs on its thread.
 #[derive(Clone)]
 pub struct EntryPort {
     context: Rc<NodeContext>,
@@ -47,12 +47,12 @@
         Self { context, guard, ingress }
     }
 
-    /// The node's clock.
+    /// Returns the current time of the node's clock.
     pub fn now(&self) -> MonotonicTime {
         self.context.now()
     }
 
-    /// The configuration in force, `None` before the first.
+    /// Returns the configuration in force; `None` before the first one.
     pub fn config(&self) -> Option<Arc<ConfigInForce>> {
         self.context.config.load()
     }
@@ -67,7 +67,7 @@
         self.guard.is_closing()
     }
 
-    /// Serves a request of the client at `client`. Dropping the future gives it up.
+    /// Serves a request as a client request or as a nested call, by its origin. Dropping the future cancels it.
     pub async fn call(&self, request: RequestId, call: IncomingCall) -> EntryReply {
         let reply = match &call.origin {
             CallOrigin::Client { address } => {
@@ -78,7 +78,7 @@
                 let span = context.as_ref().and_then(|context| self.guard.spans.find(context));
                 match span {
                     Some(span) => self.ingress.serve_below(call, span).await,
-                    // The call above has ended here, or was never ours: it stands for itself.
+                    // The call above has ended or never ran at this node, so this call is served as a client request.
                     None => self.ingress.serve_entry(request, call, UNKNOWN_CLIENT).await,
                 }
             }
@@ -86,19 +86,19 @@
         EntryReply { reply, closes_connection: self.is_leaving() }
     }
 
-    /// Tells the journal of a request that was answered with `status` before a service was found for it.
+    /// Records in the journal that a request was answered with `status` before a service was found for it.
     pub fn record_denied(&self, request: RequestId, status: u16) {
         let revision = self.context.revision();
         self.context.events.emit(EventKind::RequestDenied { request, status, revision });
     }
 
-    /// Takes in a heartbeat of the upstream beside the node. Returns once no new work reaches an upstream
-    /// that leaves.
+    /// Records a heartbeat of the upstream beside the node. If the upstream is leaving, returns once no new work
+    /// reaches it.
     pub async fn record_heartbeat(&self, heartbeat: UpstreamHeartbeat) -> UpstreamReceipt {
         self.guard.hear(heartbeat).await
     }
 
-    /// The instance has left, or is about to: nothing is dispatched to it from now on.
+    /// Records that the instance has left or is about to leave; nothing is dispatched to it afterwards.
     pub async fn record_departure(&self, instance: InstanceIncarnation) -> UpstreamReceipt {
         self.guard.hear_leave(instance).await
     }
--- a/crates/coltsfoot-node/src/dispatch/node_status.rs
+++ b/crates/coltsfoot-node/src/dispatch/node_status.rs
@@ -1,4 +1,4 @@
-//! The state of the node, for operators.
+//! Report of the node's state for operators.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 };
 use crate::http::HttpReply;
 
-/// Longest wait for the gossip duty's part of the state.
+/// Longest wait for the gossip duty's part of the node's state.
 const GOSSIP_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl DispatchDuty {
-    /// The state of the node, for operators.
+    /// Returns the state of the node for operators, without the membership if the gossip duty does not answer in time.
     pub(super) async fn status(&self) -> HttpReply {
         let membership = timeout(GOSSIP_TIMEOUT, self.context.ask_gossip()).await.ok().flatten();
         HttpReply::json(StatusCode::OK, &self.status_body(membership))
--- a/crates/coltsfoot-node/src/dispatch/quarantine_body.rs
+++ b/crates/coltsfoot-node/src/dispatch/quarantine_body.rs
@@ -1,4 +1,4 @@
-//! What operators are told of requests that are held back.
+//! Replies to operators about quarantined requests.
 
 use std::rc::Rc;
 
@@ -8,19 +8,19 @@
 use super::links::{LetGoResult, QuarantineDesk};
 use crate::http::HttpReply;
 
-/// One case, as operators see it.
+/// One quarantine case, as shown to operators.
 #[derive(serde::Serialize)]
 struct CaseBody {
     fingerprint: RequestFingerprint,
-    /// Whether the request is held back; else it was, and has been let go.
+    /// Whether the request is quarantined; otherwise it was and has been released.
     held: bool,
-    /// Changes of the case until now.
+    /// Number of changes to the case.
     term: u32,
-    /// Time since the last change.
+    /// Time since the last change, in seconds.
     age_s: u64,
 }
 
-/// All cases.
+/// Builds the reply that lists all quarantine cases.
 pub(super) fn quarantine_reply(desk: &QuarantineDesk) -> HttpReply {
     let cases = desk.all().cases.into_iter().map(|case| CaseBody {
         fingerprint: case.fingerprint,
@@ -32,7 +32,7 @@
     HttpReply::json(StatusCode::OK, &serde_json::json!({ "requests": cases }))
 }
 
-/// Lets a request go.
+/// Releases a request from quarantine and builds the reply.
 pub(super) async fn release_reply(
     desk: &Rc<QuarantineDesk>,
     fingerprint: RequestFingerprint,
--- a/crates/coltsfoot-node/src/dispatch/status_body.rs
+++ b/crates/coltsfoot-node/src/dispatch/status_body.rs
@@ -1,4 +1,4 @@
-//! What `GET /status` answers.
+//! Body of the reply to `GET /status`.
 
 use coltsfootroute::{
     drain::DrainReport,
@@ -8,7 +8,7 @@
 
 use super::ingress::MemberCounts;
 
-/// Upstreams named one by one in a pool, at most.
+/// Maximum number of upstreams listed individually for a pool.
 const MAX_LISTED_UPSTREAMS: usize = 32;
 
 /// The state of a node.
@@ -19,24 +19,24 @@
     pub domain: String,
     pub region: String,
     pub revision: u64,
-    /// Whether the node takes calls.
+    /// Whether the node accepts calls.
     pub ready: bool,
     pub phase: &'static str,
     pub in_flight: u64,
-    /// What keeps a stop that takes too long from its end.
+    /// Calls that delay a planned stop beyond its time limit.
     pub overdue: Option<OverdueBody>,
-    /// Connections to other nodes.
+    /// Number of connections to other nodes.
     pub links: usize,
-    /// Absent while the gossip duty does not answer.
+    /// `None` if the gossip duty did not answer.
     pub membership: Option<MembershipBody>,
-    /// Members of the own service and of those called.
+    /// Members of the local upstream's service and of the services called.
     pub services: Vec<ServiceBody>,
     pub upstream: Option<UpstreamBody>,
     /// Upstreams of the services called, as this node's routing sees them.
     pub pools: Vec<PoolBody>,
 }
 
-/// A stop that takes longer than its bound.
+/// A planned stop that takes longer than its time limit.
 #[derive(serde::Serialize)]
 pub struct OverdueBody {
     in_flight: u64,
@@ -50,14 +50,14 @@
     }
 }
 
-/// What the gossip duty knows.
+/// Membership state of the gossip duty.
 #[derive(serde::Serialize)]
 pub struct MembershipBody {
     /// Whether another node has answered.
     joined: bool,
-    /// Incarnation now; the node raises it to refute what is said of it.
+    /// Current incarnation; the node increments it to refute reports that it is suspect or dead.
     incarnation: u64,
-    /// Nodes of other services kept as entry points.
+    /// Number of nodes of other services kept as entry points.
     seeds: usize,
 }
 
@@ -82,23 +82,23 @@
     pub limit: u32,
     pub in_flight: u32,
     pub queued: u32,
-    /// Most calls that may wait.
+    /// Maximum number of calls that may wait.
     pub queue: u32,
-    /// Thousandths of an importance level that are shed.
+    /// Shed level in thousandths of an importance level.
     pub severity: u16,
 }
 
-/// Upstreams of one service called.
+/// Upstreams of a called service.
 #[derive(serde::Serialize)]
 pub struct PoolBody {
     service: String,
     upstreams: usize,
     phases: PhaseCounts,
-    /// Calls chosen in the own failure domain, outside it, and ejections since the service was watched.
+    /// Calls routed within the node's own failure domain; like the next two, counted since the service was watched.
     chosen_near: u64,
     chosen_far: u64,
     ejections: u64,
-    /// The first of those that don't serve at full weight.
+    /// First upstreams that do not serve at full weight, up to [`MAX_LISTED_UPSTREAMS`].
     not_serving: Vec<ListedUpstream>,
 }
 
@@ -120,7 +120,7 @@
 }
 
 impl PoolBody {
-    /// The pool of `service`.
+    /// Creates the body for the pool of `service`.
     pub fn new(service: String, status: &PoolStatus) -> Self {
         let mut phases = PhaseCounts::default();
         for upstream in &status.upstreams {
