--- a/crates/coltsfoot-node/tests/integration/outgoing.rs
+++ b/crates/coltsfoot-node/tests/integration/outgoing.rs
@@ -40,19 +40,19 @@
 
 /// Guards against a request that waits for ever since its connection ended as it was handed over.
 #[test]
-fn a_request_that_crosses_the_end_of_its_connection_ends() {
+fn a_request_that_races_with_a_connection_close_finishes() {
     let address = start_dropping().expect("loopback");
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
 
     let unanswered = LocalSet::new().block_on(&runtime, async {
-        let mut crowd = JoinSet::new();
+        let mut clients = JoinSet::new();
         for _ in 0..CLIENTS {
-            crowd.spawn_local(unanswered(settings().client(), address, REQUESTS));
+            clients.spawn_local(unanswered(settings().client(), address, REQUESTS));
         }
-        crowd.join_all().await.into_iter().sum::<usize>()
+        clients.join_all().await.into_iter().sum::<usize>()
     });
 
-    assert_eq!(unanswered, 0, "of {}", CLIENTS * REQUESTS);
+    assert_eq!(unanswered, 0, "unanswered of {} requests", CLIENTS * REQUESTS);
 }
 
 /// The call is ambiguous, and does not compile, if the type can be sent to another thread.
--- a/crates/coltsfoot-node/tests/integration/pipeline.rs
+++ b/crates/coltsfoot-node/tests/integration/pipeline.rs
@@ -26,17 +26,17 @@
 };
 
 /// Longest wait for something that has to happen; never reached in a good run.
-const PATIENCE: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// What the handler saw.
 #[derive(Clone, Default)]
-struct Sight {
+struct HandlerLog {
     /// Requests in the order in which they were begun, as `method target body`.
-    begun: Arc<Mutex<Vec<String>>>,
+    started: Arc<Mutex<Vec<String>>>,
     /// Requests being worked on.
     running: Arc<AtomicUsize>,
     /// Most at a time.
-    most: Arc<AtomicUsize>,
+    max_running: Arc<AtomicUsize>,
 }
 
 /// Counts a request as running until it is dropped.
@@ -50,31 +50,33 @@
 
 /// Starts a server that answers with the body of the request, after the milliseconds that its path names;
 /// `/close` closes.
-fn start() -> (SocketAddr, Sight) {
+fn start() -> (SocketAddr, HandlerLog) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
     let address = listener.local_addr().expect("bound");
     listener.set_nonblocking(true).expect("socket");
-    let sight = Sight::default();
-    let seen = sight.clone();
+    let log = HandlerLog::default();
+    let handler_log = log.clone();
     thread::spawn(move || {
         let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("runtime");
         LocalSet::new().block_on(&runtime, async move {
             let listener = tokio::net::TcpListener::from_std(listener).expect("listener");
-            accept_connections(listener, LIMITS, move |request| answer(request, seen.clone()))
-                .await;
+            accept_connections(listener, LIMITS, move |request| {
+                answer(request, handler_log.clone())
+            })
+            .await;
         });
     });
-    (address, sight)
+    (address, log)
 }
 
-async fn answer(request: WholeRequest, sight: Sight) -> WholeResponse {
-    let running = sight.running.fetch_add(1, Ordering::SeqCst) + 1;
-    sight.most.fetch_max(running, Ordering::SeqCst);
-    let _running = Running(sight.running.clone());
+async fn answer(request: WholeRequest, log: HandlerLog) -> WholeResponse {
+    let running = log.running.fetch_add(1, Ordering::SeqCst) + 1;
+    log.max_running.fetch_max(running, Ordering::SeqCst);
+    let _running = Running(log.running.clone());
     let path = request.uri().path().to_owned();
     let body = String::from_utf8_lossy(request.body()).into_owned();
     let line = format!("{} {path} {body}", request.method());
-    sight.begun.lock().expect("lock").push(line);
+    log.started.lock().expect("lock").push(line);
     let millis = path.trim_start_matches('/').parse().unwrap_or(0);
     sleep(Duration::from_millis(millis)).await;
     let mut response = WholeResponse::new(Bytes::from(format!("{path}:{body}")));
@@ -88,7 +90,7 @@
 /// Sends `text` and reads until the server closes.
 fn exchange(address: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("server");
-    stream.set_read_timeout(Some(PATIENCE)).expect("socket");
+    stream.set_read_timeout(Some(MAX_WAIT)).expect("socket");
     stream.write_all(text.as_bytes()).expect("sent");
     let mut answers = String::new();
     stream.read_to_string(&mut answers).expect("answers");
@@ -116,46 +118,46 @@
     answers.split("HTTP/1.1 ").skip(1).map(|part| &part[..3]).collect()
 }
 
-fn wait_until(mut is_so: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !is_so() {
-        assert!(Instant::now() < until, "waited in vain");
+fn wait_until(mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + MAX_WAIT;
+    while !condition() {
+        assert!(Instant::now() < until, "the condition was not met in time");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
 fn safe_requests_overlap_and_are_answered_in_order() {
-    let (address, sight) = start();
+    let (address, log) = start();
 
     let answers = exchange(address, &(get("/200") + &get("/50") + &get("/close")));
 
     assert_eq!(bodies(&answers), ["/200:", "/50:", "/close:"]);
-    assert_eq!(sight.most.load(Ordering::SeqCst), 3);
+    assert_eq!(log.max_running.load(Ordering::SeqCst), 3);
 }
 
 #[test]
-fn a_request_that_is_not_safe_is_worked_on_alone() {
-    let (address, sight) = start();
+fn an_unsafe_request_is_processed_alone() {
+    let (address, log) = start();
 
     let answers = exchange(address, &(get("/50") + &post("/20", "fee") + &get("/close")));
 
     assert_eq!(bodies(&answers), ["/50:", "/20:fee", "/close:"]);
-    assert_eq!(sight.most.load(Ordering::SeqCst), 1);
+    assert_eq!(log.max_running.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn nothing_behind_a_close_is_begun_if_it_is_not_safe() {
-    let (address, sight) = start();
+fn an_unsafe_request_behind_a_close_is_not_started() {
+    let (address, log) = start();
 
     let answers = exchange(address, &(get("/close") + &post("/0", "fee")));
 
     assert_eq!(statuses(&answers), ["200"]);
-    assert_eq!(*sight.begun.lock().expect("lock"), ["GET /close "]);
+    assert_eq!(*log.started.lock().expect("lock"), ["GET /close "]);
 }
 
 #[test]
-fn a_close_waits_for_the_requests_that_have_been_begun() {
+fn a_close_waits_for_the_requests_that_have_started() {
     let (address, _) = start();
 
     let answers = exchange(address, &(get("/close") + &get("/50") + &get("/close")));
@@ -165,38 +167,38 @@
 }
 
 #[test]
-fn a_client_that_goes_away_gives_its_requests_up() {
-    let (address, sight) = start();
+fn a_client_that_disconnects_cancels_its_requests() {
+    let (address, log) = start();
     let mut stream = TcpStream::connect(address).expect("server");
     stream.write_all((get("/60000") + &get("/60000")).as_bytes()).expect("sent");
-    wait_until(|| sight.running.load(Ordering::SeqCst) == 2);
+    wait_until(|| log.running.load(Ordering::SeqCst) == 2);
 
     stream.shutdown(Shutdown::Both).expect("open");
 
-    wait_until(|| sight.running.load(Ordering::SeqCst) == 0);
+    wait_until(|| log.running.load(Ordering::SeqCst) == 0);
 }
 
 #[test]
-fn a_client_that_goes_away_behind_a_request_of_its_own_is_seen() {
-    let (address, sight) = start();
+fn a_disconnect_behind_an_unread_request_is_detected() {
+    let (address, log) = start();
     let mut stream = TcpStream::connect(address).expect("server");
     // The second request waits unread for the first, which is not safe.
     stream.write_all((post("/60000", "fee") + &get("/0")).as_bytes()).expect("sent");
-    wait_until(|| sight.running.load(Ordering::SeqCst) == 1);
+    wait_until(|| log.running.load(Ordering::SeqCst) == 1);
 
     stream.shutdown(Shutdown::Both).expect("open");
 
-    wait_until(|| sight.running.load(Ordering::SeqCst) == 0);
+    wait_until(|| log.running.load(Ordering::SeqCst) == 0);
 }
 
 #[test]
-fn chunks_are_put_together_whatever_pieces_they_come_in() {
+fn chunks_are_reassembled_however_they_are_split() {
     let (address, _) = start();
     let head = "POST /0 HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n";
     let text =
         format!("{head}3;x=y\r\nfee\r\nA\r\n0123456789\r\n0\r\nt: v\r\n\r\n{}", get("/close"));
     let mut stream = TcpStream::connect(address).expect("server");
-    stream.set_read_timeout(Some(PATIENCE)).expect("socket");
+    stream.set_read_timeout(Some(MAX_WAIT)).expect("socket");
 
     for piece in text.as_bytes().chunks(7) {
         stream.write_all(piece).expect("sent");
@@ -220,14 +222,14 @@
 #[case::endless_length("content-length: 99999999999999999999999\r\n\r\n", "413")]
 #[case::no_header("no header\r\n\r\n", "400")]
 #[case::rest_of_the_body_missing("content-length: 9\r\n\r\nfee", "408")]
-fn a_request_that_is_none_closes_the_connection(#[case] rest: &str, #[case] status: &str) {
-    let (address, sight) = start();
+fn an_invalid_request_closes_the_connection(#[case] rest: &str, #[case] status: &str) {
+    let (address, log) = start();
     let smuggled = format!("POST /0 HTTP/1.1\r\nhost: a\r\n{rest}");
 
     let answers = exchange(address, &(get("/0") + &smuggled));
 
     assert_eq!(statuses(&answers), ["200", status]);
-    assert_eq!(*sight.begun.lock().expect("lock"), ["GET /0 "]);
+    assert_eq!(*log.started.lock().expect("lock"), ["GET /0 "]);
 }
 
 #[test]
@@ -241,20 +243,20 @@
 }
 
 #[test]
-fn a_client_that_asks_first_gets_leave_to_send_its_body() {
+fn expect_continue_is_answered_before_the_body_is_sent() {
     let (address, _) = start();
     let mut stream = TcpStream::connect(address).expect("server");
-    stream.set_read_timeout(Some(PATIENCE)).expect("socket");
+    stream.set_read_timeout(Some(MAX_WAIT)).expect("socket");
     let head =
         "POST /close HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\nexpect: 100-continue\r\n\r\n";
     stream.write_all(head.as_bytes()).expect("sent");
 
-    let mut leave = [0; 25];
-    stream.read_exact(&mut leave).expect("leave");
+    let mut interim = [0; 25];
+    stream.read_exact(&mut interim).expect("interim response");
     stream.write_all(b"fee").expect("sent");
     let mut answers = String::new();
     stream.read_to_string(&mut answers).expect("answer");
 
-    assert_eq!(&leave, b"HTTP/1.1 100 Continue\r\n\r\n");
+    assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
     assert_eq!(bodies(&answers), ["/close:fee"]);
 }
--- a/crates/coltsfoot-node/tests/integration/reload.rs
+++ b/crates/coltsfoot-node/tests/integration/reload.rs
@@ -57,7 +57,7 @@
         while !line.contains(text) {
             line.clear();
             let read = self.log.read_line(&mut line).expect("a log");
-            assert!(read > 0, "the node ended before it said `{text}`");
+            assert!(read > 0, "the node exited before it logged `{text}`");
         }
         line
     }
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn sighup_reads_the_settings_again_and_does_not_end_the_node() {
+fn sighup_reloads_the_settings_and_does_not_stop_the_node() {
     let mut node = NodeProcess::start("reload-good");
 
     node.reload(&format!("{SETTINGS}log: {{level: debug}}\n"));
--- a/crates/coltsfoot-node/tests/integration/status.rs
+++ b/crates/coltsfoot-node/tests/integration/status.rs
@@ -7,7 +7,7 @@
 
 use crate::util::solo_node::SoloNode;
 
-const PAUSE: Duration = Duration::from_millis(5);
+const POLL_PERIOD: Duration = Duration::from_millis(5);
 
 #[test]
 fn members_and_pools_are_shown_by_state() {
@@ -21,7 +21,7 @@
     assert_eq!(watcher.call().status, 200);
     // Being asked is not yet having been answered.
     while watcher.status()["membership"]["joined"] != true {
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_PERIOD);
     }
     let status = watcher.status();
 
@@ -39,7 +39,7 @@
     host.stop();
     watcher.await_event(|record| (record.kind.name() == "member-left").then_some(()));
     while watcher.status()["services"][0]["members"]["left"] != 1 {
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_PERIOD);
     }
     watcher.stop();
 }
