--- a/crates/coltsfoot-node/tests/integration/outgoing.rs
+++ b/crates/coltsfoot-node/tests/integration/outgoing.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the node's own requests, against a server that ends connections.
+//! The HTTP client of the node's own requests, against a server that closes connections.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// How many of `requests` requests, one after the other, never end.
+/// Sends `requests` requests one after the other. Returns how many of them do not finish within [`LONG`].
 async fn unanswered(client: OutgoingClient, address: SocketAddr, requests: usize) -> usize {
     let mut unanswered = 0;
     for _ in 0..requests {
@@ -38,7 +38,7 @@
     unanswered
 }
 
-/// Guards against a request that waits for ever since its connection ended as it was handed over.
+/// Guards against a request that waits forever because its connection was closed while the request was handed to it.
 #[test]
 fn a_request_that_races_with_a_connection_close_finishes() {
     let address = start_dropping().expect("loopback");
@@ -55,7 +55,7 @@
     assert_eq!(unanswered, 0, "unanswered of {} requests", CLIENTS * REQUESTS);
 }
 
-/// The call is ambiguous, and does not compile, if the type can be sent to another thread.
+/// A call of `holds` is ambiguous and does not compile if the type implements `Send`.
 trait AmbiguousIfSend<Marker> {
     fn holds() -> bool {
         true
@@ -65,7 +65,7 @@
 impl<T> AmbiguousIfSend<()> for T {}
 impl<T: Send> AmbiguousIfSend<u8> for T {}
 
-/// Guards against a client that one thread sends with while another ends its connections.
+/// Guards against a client that sends requests on one thread while another thread closes its connections.
 #[test]
 fn the_client_stays_on_its_thread() {
     assert!(<OutgoingClient as AmbiguousIfSend<_>>::holds());
--- a/crates/coltsfoot-node/tests/integration/pipeline.rs
+++ b/crates/coltsfoot-node/tests/integration/pipeline.rs
@@ -1,4 +1,4 @@
-//! Connections whose requests follow one another before the first is answered.
+//! Pipelined connections, on which a client sends further requests before the first is answered.
 
 use std::{
     io::{Read, Write},
@@ -25,17 +25,17 @@
     idle_time: Duration::from_secs(30),
 };
 
-/// Longest wait for something that has to happen; never reached in a good run.
+/// Longest wait for an expected event; only reached if the test fails.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// What the handler saw.
+/// Requests observed by the handler.
 #[derive(Clone, Default)]
 struct HandlerLog {
-    /// Requests in the order in which they were begun, as `method target body`.
+    /// Requests in the order in which they were started, as `method target body`.
     started: Arc<Mutex<Vec<String>>>,
-    /// Requests being worked on.
+    /// Number of requests being processed.
     running: Arc<AtomicUsize>,
-    /// Most at a time.
+    /// Largest number of requests processed at the same time.
     max_running: Arc<AtomicUsize>,
 }
 
@@ -182,7 +182,7 @@
 fn a_disconnect_behind_an_unread_request_is_detected() {
     let (address, log) = start();
     let mut stream = TcpStream::connect(address).expect("server");
-    // The second request waits unread for the first, which is not safe.
+    // The second request stays unread until the first, which is not safe, has been answered.
     stream.write_all((post("/60000", "fee") + &get("/0")).as_bytes()).expect("sent");
     wait_until(|| log.running.load(Ordering::SeqCst) == 1);
 
--- a/crates/coltsfoot-node/tests/integration/reload.rs
+++ b/crates/coltsfoot-node/tests/integration/reload.rs
@@ -1,4 +1,4 @@
-//! Settings read again while the node runs.
+//! Reloading of the settings while the node runs.
 
 use std::{
     fs,
@@ -17,7 +17,7 @@
 limits: {drain_notice_ms: 0}
 "#;
 
-/// A node in a process of its own, with its log.
+/// A node that runs in a separate process, with its log.
 struct NodeProcess {
     child: Child,
     log: BufReader<ChildStdout>,
@@ -45,13 +45,13 @@
         kill_process(pid, signal).expect("it runs");
     }
 
-    /// Writes the settings file anew and sends SIGHUP.
+    /// Overwrites the settings file with `text` and sends SIGHUP.
     fn reload(&self, text: &str) {
         fs::write(&self.settings, text).expect("a settings file");
         self.signal(Signal::HUP);
     }
 
-    /// Reads the log up to the first line that holds `text`.
+    /// Reads the log up to the first line that contains `text`, and returns that line.
     fn await_line(&mut self, text: &str) -> String {
         let mut line = String::new();
         while !line.contains(text) {
@@ -65,7 +65,7 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_file(&self.settings);
--- a/crates/coltsfoot-node/tests/integration/status.rs
+++ b/crates/coltsfoot-node/tests/integration/status.rs
@@ -1,4 +1,4 @@
-//! The state of a node, as operators read it.
+//! The state of a node as reported to operators.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     watcher.await_member(host.addresses.peer);
 
     assert_eq!(watcher.call().status, 200);
-    // Being asked is not yet having been answered.
+    // `joined` becomes true only after another node has answered this one, not when another has contacted it.
     while watcher.status()["membership"]["joined"] != true {
         std::thread::sleep(POLL_PERIOD);
     }
