--- a/crates/coltsfoot-node/src/dispatch.rs
+++ b/crates/coltsfoot-node/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! The dispatch duty: one thread that takes calls in, routes them, guards the upstream beside the node
-//! and talks to the other nodes.
+//! The dispatch duty: one thread that accepts and routes calls, guards the upstream beside the node and
+//! communicates with the other nodes.
 //!
-//! Its parts know one another in one direction only: `ingress`, what enters here, knows `guard`, what protects
-//! the upstream beside the node; both know `links`, the connections to other nodes, and all of them `context`,
-//! which holds no request. `dispatch_duty` joins them.
+//! Its parts depend on one another in one direction only: `ingress`, which accepts and routes calls, depends on
+//! `guard`, which protects the upstream beside the node; both depend on `links`, the connections to other nodes, and
+//! all of them on `context`, which holds no request. `dispatch_duty` assembles them.
 
 mod context;
 mod dispatch_command;
@@ -23,7 +23,7 @@
 pub use dispatch_command::DispatchCommand;
 pub use dispatch_handle::DispatchHandle;
 pub use dispatch_parts::DispatchParts;
-pub use dispatch_thread::{DispatchThread, FrontDoor};
+pub use dispatch_thread::{BoundFront, DispatchThread};
 pub use entry_port::{EntryPort, EntryReply};
 pub use guard::{UpstreamHeartbeat, UpstreamReceipt, end_to_end_headers};
 pub use ingress::{CallOrigin, IncomingCall};
--- a/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
@@ -16,7 +16,7 @@
     dispatch_parts::DispatchParts,
     ingress::{CallOrigin, IncomingCall},
     links::{FinderStart, accept_peers, find_others, pull_config},
-    quarantine_body::{let_go_reply, quarantine_reply},
+    quarantine_body::{quarantine_reply, release_reply},
 };
 use crate::{
     border::{ClientFront, RepeatGuard},
@@ -24,13 +24,13 @@
     metrics::{DutyMeter, NodeDuty},
 };
 
-/// Commands that wait for the dispatch duty at most; beyond them calls are refused.
-const COMMAND_RING: usize = 4_096;
-/// How often idle links are closed and silence of the upstream is noticed.
+/// Maximum number of commands queued for the dispatch duty; calls beyond it are refused.
+const MAX_QUEUED_COMMANDS: usize = 4_096;
+/// Period of the maintenance tasks, such as closing idle links and detecting a silent upstream.
 const UPKEEP_PERIOD: Duration = Duration::from_secs(1);
 
 /// A client front and the listener that it serves.
-pub struct FrontDoor<F> {
+pub struct BoundFront<F> {
     /// The front.
     pub front: F,
     /// Open listener for clients.
@@ -41,27 +41,28 @@
 pub struct DispatchThread;
 
 impl DispatchThread {
-    /// The ring to the duty, made before the thread so that the other duties can be given the handle.
-    pub fn ring() -> (DispatchHandle, mpsc::Receiver<DispatchCommand>) {
-        let (sender, receiver) = mpsc::channel(COMMAND_RING);
+    /// Creates the command queue of the duty; this happens before the thread starts, so that the other duties can be
+    /// given the handle.
+    pub fn channel() -> (DispatchHandle, mpsc::Receiver<DispatchCommand>) {
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_COMMANDS);
         (DispatchHandle::new(sender), receiver)
     }
 
-    /// Starts the thread; it accepts peers on `listener`, clients on the listener of `front`, and ends with
-    /// the process.
+    /// Starts the thread, which accepts peers on `listener` and clients on the listener of `front`, and runs until
+    /// the process exits.
     ///
     /// # Errors
     ///
     /// If the runtime or the thread cannot be created.
     pub fn start<F: ClientFront>(
         parts: DispatchParts,
-        front: Option<FrontDoor<F>>,
+        front: Option<BoundFront<F>>,
         listener: TcpListener,
         commands: mpsc::Receiver<DispatchCommand>,
     ) -> io::Result<()> {
         listener.set_nonblocking(true)?;
-        if let Some(door) = &front {
-            door.listener.set_nonblocking(true)?;
+        if let Some(front) = &front {
+            front.listener.set_nonblocking(true)?;
         }
         let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
         thread::Builder::new().name("dispatch".to_owned()).spawn(move || {
@@ -74,28 +75,28 @@
 
 async fn run<F: ClientFront>(
     parts: DispatchParts,
-    front: Option<FrontDoor<F>>,
+    front: Option<BoundFront<F>>,
     listener: TcpListener,
     mut commands: mpsc::Receiver<DispatchCommand>,
 ) {
     let start = FinderStart { has_peers: parts.has_peers, first_start: parts.first_start };
     let duty = Rc::new(DispatchDuty::new(parts));
-    // The listener is a bound socket in non-blocking mode, which is all the conversion asks for.
+    // The listener is a bound socket in non-blocking mode, which is all that the conversion requires.
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-    if let Some(FrontDoor { front, listener }) = front {
+    if let Some(BoundFront { front, listener }) = front {
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
         spawn_local(front.serve(listener, duty.entry()));
     }
     spawn_local(accept_peers(listener, duty.clone()));
     duty.start_tasks(start);
     while let Some(command) = commands.recv().await {
-        // Each command is a task of its own: none may hold up the ring.
-        spawn_local(duty.clone().obey(command));
+        // Each command runs in its own task, so that none blocks the queue.
+        spawn_local(duty.clone().execute(command));
     }
 }
 
 impl DispatchDuty {
-    /// Starts what runs beside the calls.
+    /// Starts the background tasks.
     fn start_tasks(self: &Rc<Self>, start: FinderStart) {
         spawn_local(self.clone().upkeep());
         spawn_local(self.guard.clone().tick_gate());
@@ -106,22 +107,22 @@
         spawn_local(self.introduction.clone().keep_introduced());
         spawn_local(self.quarantine.clone().keep_cases());
         spawn_local(self.guard.clone().resume_upstream());
-        spawn_local(self.ingress.clone().follow_upstream());
+        spawn_local(self.ingress.clone().watch_callees());
         spawn_local(self.clone().find_nodes(start));
     }
 
-    /// Finds other nodes, then from time to time members of services of which none is known.
+    /// Finds other nodes, then periodically searches for members of watched services that have no known member.
     async fn find_nodes(self: Rc<Self>, start: FinderStart) {
         let (desk, store) = (self.introduction.clone(), self.introductions.clone());
         find_others(self.context.clone(), desk, store, start).await;
         self.ingress.clone().find_members().await;
     }
 
-    async fn obey(self: Rc<Self>, command: DispatchCommand) {
+    async fn execute(self: Rc<Self>, command: DispatchCommand) {
         match command {
             DispatchCommand::Call(call, reply) => self.serve(*call, reply).await,
             DispatchCommand::Announce(announcement, reply) => {
-                // The listener may have stopped waiting; nothing is owed to it then.
+                // The listener may have stopped waiting for the reply.
                 let _ = reply.send(self.guard.announce_upstream(announcement).await);
             }
             DispatchCommand::Withdraw(reply) => {
@@ -141,8 +142,8 @@
             DispatchCommand::Quarantine(reply) => {
                 let _ = reply.send(quarantine_reply(&self.quarantine));
             }
-            DispatchCommand::LetGo(fingerprint, reply) => {
-                let _ = reply.send(let_go_reply(&self.quarantine, fingerprint).await);
+            DispatchCommand::Release(fingerprint, reply) => {
+                let _ = reply.send(release_reply(&self.quarantine, fingerprint).await);
             }
             DispatchCommand::Status(reply) => {
                 let _ = reply.send(self.status().await);
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Serves a call, unless its caller goes away first.
+    /// Serves a call; cancels it if its caller disconnects first.
     async fn serve(self: Rc<Self>, call: IncomingCall, mut reply: oneshot::Sender<HttpReply>) {
         let answer = tokio::select! {
             answer = self.serve_origin(call) => answer,
@@ -187,8 +188,8 @@
             }
             self.links.close_idle();
             self.guard.notice_silence().await;
-            self.ingress.forget_unused().await;
-            self.ingress.forget_quotas();
+            self.ingress.unwatch_idle().await;
+            self.ingress.evict_idle_quotas();
             self.owner.prune();
             self.guard.report_gauges();
         }
--- a/crates/coltsfoot-node/src/dispatch/ingress/pool_watch.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/pool_watch.rs
@@ -1,4 +1,4 @@
-//! Which services this node watches, and what it is told of their members.
+//! The services that this node watches, and updates of their members.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -14,19 +14,19 @@
 
 /// Longest wait for the first members of a service that this node has not called before.
 pub(super) const FIRST_MEMBERS_WAIT: Duration = Duration::from_millis(1_500);
-/// How often the gossip duty is told that a service is in use.
-const TELL_PERIOD: Duration = Duration::from_secs(5);
-/// How often the gossip duty is told that calls reach a service's members, or fail to: a few times in the silence
-/// after which it would hide them.
-const CONTACT_PERIOD: Duration = Duration::from_secs(2);
-/// A service that has not been called for so long is no longer watched.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+/// Shortest time between two reports to the gossip duty that a service is in use.
+const USE_REPORT_PERIOD: Duration = Duration::from_secs(5);
+/// Shortest time between two reports to the gossip duty that calls reach a service's members, or two that they fail
+/// to: a few reports fit into the silence after which the gossip duty would hide the members.
+const CONTACT_REPORT_PERIOD: Duration = Duration::from_secs(2);
+/// Time without a call after which a service is no longer watched.
+const UNWATCH_AFTER: Duration = Duration::from_secs(600);
 
-/// Schemas of at most so many services are watched whole, so that no client's first call waits.
-const EAGER_SERVICES: usize = 32;
+/// Maximum number of services in a schema for which all of them are watched, so that no client's first call waits.
+const MAX_EAGER_SERVICES: usize = 32;
 
 impl CallIngress {
-    /// A configuration is in force from now on.
+    /// Applies a configuration that has come into force.
     pub async fn configure(&self, config: &Arc<ConfigInForce>) {
         self.context.metrics.control.set_revision(config.revision());
         for service in self.pinned_services() {
@@ -34,20 +34,20 @@
         }
     }
 
-    /// Services watched whether they are called or not: all of a small schema, else what the upstream
-    /// beside the node calls.
+    /// Returns the services that are watched whether they are called or not: all services of a small schema, else those
+    /// that the upstream beside the node calls.
     fn pinned_services(&self) -> Vec<ServiceName> {
         let Some(config) = self.context.config.load() else { return Vec::new() };
-        if config.service_count() <= EAGER_SERVICES {
+        if config.service_count() <= MAX_EAGER_SERVICES {
             return config.services();
         }
         let own = self.guard.service();
         own.map(|service| config.callees(&service)).unwrap_or_default()
     }
 
-    /// Watches what the operations of the upstream beside the node call whenever another one is there, so that
-    /// members are known before its first call.
-    pub async fn follow_upstream(self: Rc<Self>) {
+    /// Watches the services that the upstream beside the node calls, whenever its service changes, so that
+    /// their members are known before its first call.
+    pub async fn watch_callees(self: Rc<Self>) {
         loop {
             self.guard.service_changed.notified().await;
             let (Some(config), Some(service)) = (self.context.config.load(), self.guard.service())
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Acts on the pool of `service`, if the node watches it.
+    /// Applies `act` to the pool of `service`; returns `None` if the node does not watch the service.
     pub(super) fn with_pool<T>(
         &self,
         service: &ServiceName,
@@ -69,19 +69,20 @@
         self.pools.borrow_mut().get_mut(service).map(|entry| act(&mut entry.pool))
     }
 
-    /// Whether `service` has no upstream that stays, and this node has watched it for long enough to know.
-    pub(super) fn has_gone(&self, service: &ServiceName) -> bool {
+    /// Whether `service` has no upstream other than departing ones, and this node has watched it for at least
+    /// [`FIRST_MEMBERS_WAIT`], long enough to know.
+    pub(super) fn has_no_upstream(&self, service: &ServiceName) -> bool {
         let now = self.context.now();
         let pools = self.pools.borrow();
         let Some(entry) = pools.get(service) else { return false };
         entry.pool.is_empty() && now.since(entry.watched_since) >= FIRST_MEMBERS_WAIT
     }
 
-    /// Watches `service` from now on. Returns since when it has been watched.
+    /// Starts watching `service` unless it is watched already. Returns the time since which it has been watched.
     pub(super) async fn watch(&self, service: &ServiceName) -> MonotonicTime {
         let now = self.context.now();
-        if let Some((watched_since, was_cold)) = self.note_use(service, now) {
-            if was_cold {
+        if let Some((watched_since, is_report_due)) = self.record_use(service, now) {
+            if is_report_due {
                 self.context.send_gossip_command(GossipCommand::Touch(service.clone())).await;
             }
             return watched_since;
@@ -95,30 +96,36 @@
             pool,
             watched_since: now,
             called: now,
-            told: now,
-            reached_told: None,
-            unreached_told: None,
+            use_reported: now,
+            reached_reported: None,
+            unreached_reported: None,
         };
         self.pools.borrow_mut().insert(service.clone(), entry);
         self.send_watches().await;
         now
     }
 
-    /// Since when `service` is watched, and whether it was last called a while ago.
-    fn note_use(&self, service: &ServiceName, now: MonotonicTime) -> Option<(MonotonicTime, bool)> {
+    /// Records a use of `service`. Returns the time since which it has been watched, and whether its use is to be
+    /// reported to the gossip duty again; `None` if the node does not watch it.
+    fn record_use(
+        &self,
+        service: &ServiceName,
+        now: MonotonicTime,
+    ) -> Option<(MonotonicTime, bool)> {
         let mut pools = self.pools.borrow_mut();
         let entry = pools.get_mut(service)?;
-        let was_cold = now.since(entry.told) >= TELL_PERIOD;
-        if was_cold {
-            entry.told = now;
+        let is_report_due = now.since(entry.use_reported) >= USE_REPORT_PERIOD;
+        if is_report_due {
+            entry.use_reported = now;
         }
         entry.called = now;
-        Some((entry.watched_since, was_cold))
+        Some((entry.watched_since, is_report_due))
     }
 
-    /// Tells the gossip duty whether a call has reached a member of `service`, unless it has just been told.
-    pub(super) async fn note_contact(&self, service: &ServiceName, reached: bool) {
-        if !self.is_news(service, reached) {
+    /// Reports to the gossip duty whether a call has reached a member of `service`, unless the same was reported less
+    /// than [`CONTACT_REPORT_PERIOD`] ago.
+    pub(super) async fn report_contact(&self, service: &ServiceName, reached: bool) {
+        if !self.is_contact_report_due(service, reached) {
             return;
         }
         let command = match reached {
@@ -128,25 +135,26 @@
         self.context.send_gossip_command(command).await;
     }
 
-    fn is_news(&self, service: &ServiceName, reached: bool) -> bool {
+    fn is_contact_report_due(&self, service: &ServiceName, reached: bool) -> bool {
         let now = self.context.now();
         let mut pools = self.pools.borrow_mut();
         let Some(entry) = pools.get_mut(service) else { return false };
-        let told = if reached { &mut entry.reached_told } else { &mut entry.unreached_told };
-        let is_news = told.is_none_or(|told| now.since(told) >= CONTACT_PERIOD);
-        if is_news {
-            *told = Some(now);
+        let last_report =
+            if reached { &mut entry.reached_reported } else { &mut entry.unreached_reported };
+        let is_due = last_report.is_none_or(|last| now.since(last) >= CONTACT_REPORT_PERIOD);
+        if is_due {
+            *last_report = Some(now);
         }
-        is_news
+        is_due
     }
 
-    /// Stops watching services that have not been called for long, unless they are pinned.
-    pub async fn forget_unused(&self) {
+    /// Stops watching services that have not been called for [`UNWATCH_AFTER`], unless they are pinned.
+    pub async fn unwatch_idle(&self) {
         let now = self.context.now();
         let pinned = self.pinned_services();
         let before = self.pools.borrow().len();
         self.pools.borrow_mut().retain(|service, entry| {
-            now.since(entry.called) < FORGET_AFTER || pinned.contains(service)
+            now.since(entry.called) < UNWATCH_AFTER || pinned.contains(service)
         });
         if self.pools.borrow().len() < before {
             self.send_watches().await;
@@ -158,7 +166,7 @@
         self.context.send_gossip_command(GossipCommand::Watch(services)).await;
     }
 
-    /// Takes in the members of a watched service.
+    /// Updates the members of a watched service.
     pub fn update_members(&self, service: &ServiceName, members: &Arc<[MemberRecord]>) {
         let now = self.context.now();
         self.member_counts.borrow_mut().insert(service.clone(), MemberCounts::of(members));
@@ -168,7 +176,7 @@
     }
 }
 
-/// What routing needs of a member; dead members are left out.
+/// Converts a member to the information that routing needs; returns `None` for a dead member.
 fn upstream_info(member: &MemberRecord) -> Option<UpstreamInfo> {
     if member.state == MemberState::Dead {
         return None;
--- a/crates/coltsfoot-node/src/dispatch/ingress/root_shedding.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/root_shedding.rs
@@ -1,4 +1,4 @@
-//! What is refused where it enters because it would be refused deeper down.
+//! Refusal at entry of requests that would be refused further down the call chain.
 
 use coltsfoot_wire::peer::LevelNote;
 use coltsfootroute::{
@@ -10,8 +10,8 @@
 use super::{call_ingress::CallIngress, incoming_call::IncomingCall, routed_call::RoutedCall};
 
 impl CallIngress {
-    /// Takes in the levels that came with a reply.
-    pub fn learn_levels(&self, notes: &[LevelNote]) {
+    /// Records the shed levels that came with a reply.
+    pub fn observe_levels(&self, notes: &[LevelNote]) {
         let now = self.context.now();
         let mut root = self.root.borrow_mut();
         let levels = root.levels_mut();
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Takes in which services an answer to `call` came from, all those below included.
-    pub fn learn_reached(&self, call: &RoutedCall, notes: &[LevelNote]) {
+    /// Records the services that took part in an answer to `call`, including all those further down.
+    pub fn observe_reached(&self, call: &RoutedCall, notes: &[LevelNote]) {
         // In the product's own interface the schema declares the calls.
         if call.head.is_some() && !notes.is_empty() {
             let services = notes.iter().map(|note| &note.service);
@@ -36,15 +36,15 @@
         level.admitted_fraction(importance) < 1.0
     }
 
-    /// Refuses work here that would be refused deeper down.
+    /// Decides whether to refuse a request at entry because it would be refused further down; `None` admits it.
     pub fn shed_at_root(&self, call: &IncomingCall, importance: Importance) -> Option<ShedRefusal> {
-        // A call of a service without upstreams is told so where it is routed, at no cost.
-        if !self.context.control.is_on() || self.has_gone(&call.service) {
+        // A call to a service without upstreams is refused by routing, at no cost.
+        if !self.context.control.is_on() || self.has_no_upstream(&call.service) {
             return None;
         }
         let config = self.context.config.load()?;
-        let learnt = self.reached.borrow().of(&call.service, &call.operation);
-        let services = learnt.unwrap_or_else(|| config.reachable(&call.service, &call.operation));
+        let observed = self.reached.borrow().of(&call.service, &call.operation);
+        let services = observed.unwrap_or_else(|| config.reachable(&call.service, &call.operation));
         let now = self.context.now();
         let mut rng = self.context.rng.borrow_mut();
         let result = self.root.borrow_mut().admit(now, &services, importance, &mut *rng);
