--- a/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
@@ -19,8 +19,8 @@
     guard::{CallGuard, GuardParts},
     ingress::CallIngress,
     links::{
-        CallHandler, CreditOwner, CreditWish, IntroductionDesk, IntroductionStore, PeerHandler,
-        PeerLinks, QuarantineDesk, TokenAnswer,
+        CallHandler, CreditDemand, CreditOwner, IntroductionService, IntroductionStore,
+        PeerHandler, PeerLinks, QuarantineService, TokenReply,
     },
 };
 use crate::config::proof_time;
@@ -29,9 +29,9 @@
 pub(super) struct DispatchDuty {
     pub(super) context: Rc<NodeContext>,
     pub(super) links: Rc<PeerLinks>,
-    pub(super) introduction: Rc<IntroductionDesk>,
+    pub(super) introduction: Rc<IntroductionService>,
     pub(super) introductions: IntroductionStore,
-    pub(super) quarantine: Rc<QuarantineDesk>,
+    pub(super) quarantine: Rc<QuarantineService>,
     pub(super) owner: Rc<CreditOwner>,
     pub(super) guard: Rc<CallGuard>,
     pub(super) ingress: Rc<CallIngress>,
@@ -58,9 +58,9 @@
         let introductions = IntroductionStore::new(parts.store.clone());
         let resumes = parts.dialect.checks_instance();
         let introduction =
-            Rc::new(IntroductionDesk::new(context.clone(), introductions.clone(), resumes));
+            Rc::new(IntroductionService::new(context.clone(), introductions.clone(), resumes));
         let quarantine =
-            Rc::new(QuarantineDesk::new(context.clone(), links.clone(), parts.store.clone()));
+            Rc::new(QuarantineService::new(context.clone(), links.clone(), parts.store.clone()));
         let owner = Rc::new(CreditOwner::new(context.clone()));
         let guard_parts = GuardParts {
             dialect: parts.dialect,
@@ -112,17 +112,22 @@
         &self.context
     }
 
-    fn take_token(&self, request: RequestId, take_id: u64) -> TokenAnswer {
+    fn acquire_token(&self, request: RequestId, take_id: u64) -> TokenReply {
         self.ingress.take_own_token(request, take_id)
     }
 
-    fn hear_quarantine(&self, news: QuarantineUpdate, wants_all: bool) -> QuarantineUpdate {
-        self.quarantine.hear(news);
+    fn receive_quarantine(&self, news: QuarantineUpdate, wants_all: bool) -> QuarantineUpdate {
+        self.quarantine.receive(news);
         if wants_all { self.quarantine.all() } else { QuarantineUpdate::default() }
     }
 
-    fn take_credit(&self, asker: NodeId, team: &TeamName, wish: CreditWish) -> Option<CreditGrant> {
-        self.owner.ask(asker, team, wish)
+    fn acquire_credit(
+        &self,
+        requester: NodeId,
+        team: &TeamName,
+        demand: CreditDemand,
+    ) -> Option<CreditGrant> {
+        self.owner.grant(requester, team, demand)
     }
 
     fn claim_state(&self, claim: RequestId) -> ClaimState {
--- a/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_thread.rs
@@ -15,7 +15,7 @@
     dispatch_duty::DispatchDuty,
     dispatch_parts::DispatchParts,
     ingress::{CallOrigin, IncomingCall},
-    links::{FinderStart, accept_peers, find_others, pull_config},
+    links::{FinderOptions, accept_peers, discover_nodes, pull_config},
     quarantine_body::{let_go_reply, quarantine_reply},
 };
 use crate::{
@@ -78,7 +78,7 @@
     listener: TcpListener,
     mut commands: mpsc::Receiver<DispatchCommand>,
 ) {
-    let start = FinderStart { has_peers: parts.has_peers, first_start: parts.first_start };
+    let start = FinderOptions { has_peers: parts.has_peers, first_start: parts.first_start };
     let duty = Rc::new(DispatchDuty::new(parts));
     // The listener is a bound socket in non-blocking mode, which is all the conversion asks for.
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
@@ -96,24 +96,24 @@
 
 impl DispatchDuty {
     /// Starts what runs beside the calls.
-    fn start_tasks(self: &Rc<Self>, start: FinderStart) {
+    fn start_tasks(self: &Rc<Self>, start: FinderOptions) {
         spawn_local(self.clone().upkeep());
         spawn_local(self.guard.clone().tick_gate());
         if self.context.repeat_guard == RepeatGuard::Claims {
             spawn_local(self.guard.clone().run_errands());
             spawn_local(self.guard.clone().sweep_records());
         }
-        spawn_local(self.introduction.clone().keep_introduced());
-        spawn_local(self.quarantine.clone().keep_cases());
+        spawn_local(self.introduction.clone().sync_rows());
+        spawn_local(self.quarantine.clone().sync_cases());
         spawn_local(self.guard.clone().resume_upstream());
         spawn_local(self.ingress.clone().follow_upstream());
         spawn_local(self.clone().find_nodes(start));
     }
 
     /// Finds other nodes, then from time to time members of services of which none is known.
-    async fn find_nodes(self: Rc<Self>, start: FinderStart) {
+    async fn find_nodes(self: Rc<Self>, start: FinderOptions) {
         let (desk, store) = (self.introduction.clone(), self.introductions.clone());
-        find_others(self.context.clone(), desk, store, start).await;
+        discover_nodes(self.context.clone(), desk, store, start).await;
         self.ingress.clone().find_members().await;
     }
 
--- a/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
@@ -27,7 +27,7 @@
     border::UpstreamDialect,
     dispatch::{
         context::NodeContext,
-        links::{IntroductionDesk, PeerLinks, QuarantineDesk},
+        links::{IntroductionService, PeerLinks, QuarantineService},
     },
     store::StoreHandle,
 };
@@ -61,9 +61,9 @@
 pub struct CallGuard {
     pub(in crate::dispatch) context: Rc<NodeContext>,
     pub(in crate::dispatch) links: Rc<PeerLinks>,
-    pub(in crate::dispatch) introduction: Rc<IntroductionDesk>,
+    pub(in crate::dispatch) introduction: Rc<IntroductionService>,
     /// Requests that end their upstreams.
-    pub(super) quarantine: Rc<QuarantineDesk>,
+    pub(super) quarantine: Rc<QuarantineService>,
     /// The upstream, its gate, and the calls that wait at it.
     pub(in crate::dispatch) state: GuardState,
     /// Calls that the upstream works on.
@@ -98,8 +98,8 @@
     pub fn new(
         context: Rc<NodeContext>,
         links: Rc<PeerLinks>,
-        introduction: Rc<IntroductionDesk>,
-        quarantine: Rc<QuarantineDesk>,
+        introduction: Rc<IntroductionService>,
+        quarantine: Rc<QuarantineService>,
         parts: GuardParts,
     ) -> Self {
         let identity = &context.identity;
--- a/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
@@ -52,7 +52,7 @@
                 connections: announcement.connections,
             });
             self.context.tell_gossip(command).await;
-            self.introduction.want(&announcement);
+            self.introduction.set_upstream(&announcement);
             self.service_changed.notify_one();
         }
         HttpReply::json(StatusCode::OK, &serde_json::json!({ "revision": self.context.revision() }))
@@ -174,7 +174,7 @@
         }
         let UpstreamHeartbeat { announcement, instance, sequence, .. } = heartbeat;
         // A late one must not bring back what the life before this one has seen off.
-        if !self.introduction.await_resumed().await {
+        if !self.introduction.await_previous_row().await {
             return self.not_yet(instance.name, false);
         }
         if self.take_heartbeat(&instance, sequence) == HeartbeatVerdict::Fresh {
@@ -251,14 +251,14 @@
     /// Takes the upstream up again that the life before this one guarded: its next heartbeat may be seconds
     /// away. Another instance at its address refuses what is not meant for it.
     pub async fn resume_upstream(self: Rc<Self>) {
-        match self.introduction.read_row().await {
+        match self.introduction.read_previous_row().await {
             Some(UpstreamRow::Serving(announcement)) => self.resume_serving(announcement).await,
             Some(UpstreamRow::Departed { departed, born }) => {
                 self.leave_instance(InstanceIncarnation::new(departed).with_started(born)).await;
             }
             None => {}
         }
-        self.introduction.note_resumed();
+        self.introduction.note_previous_row_read();
     }
 
     async fn resume_serving(self: &Rc<Self>, announcement: UpstreamAnnouncement) {
--- a/crates/coltsfoot-node/src/dispatch/ingress/call_ingress.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/call_ingress.rs
@@ -15,7 +15,7 @@
 use crate::dispatch::{
     context::NodeContext,
     guard::CallGuard,
-    links::{CreditOwner, IntroductionStore, PeerLinks, QuarantineDesk},
+    links::{CreditOwner, IntroductionStore, PeerLinks, QuarantineService},
 };
 
 /// Takes requests in and routes them to upstreams. The guard of the own upstream is one guard among others:
@@ -26,7 +26,7 @@
     pub(super) guard: Rc<CallGuard>,
     pub(super) introductions: IntroductionStore,
     /// Requests that end their upstreams.
-    pub(super) quarantine: Rc<QuarantineDesk>,
+    pub(super) quarantine: Rc<QuarantineService>,
     /// The credit of teams that this node owns.
     pub(super) owner: Rc<CreditOwner>,
     /// The credit of teams whose requests enter here.
@@ -56,7 +56,7 @@
         links: Rc<PeerLinks>,
         guard: Rc<CallGuard>,
         introductions: IntroductionStore,
-        quarantine: Rc<QuarantineDesk>,
+        quarantine: Rc<QuarantineService>,
         owner: Rc<CreditOwner>,
     ) -> Self {
         Self {
--- a/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/retry_tokens.rs
@@ -15,7 +15,7 @@
 use crate::{
     dispatch::{
         context::{TAKE_BYTES, WORD_BYTES},
-        links::TokenAnswer,
+        links::TokenReply,
     },
     metrics::ControlKind,
 };
@@ -41,7 +41,7 @@
 
 impl CallIngress {
     /// Takes a token from a retry account kept at this node.
-    pub fn take_own_token(&self, request: RequestId, take_id: u64) -> TokenAnswer {
+    pub fn take_own_token(&self, request: RequestId, take_id: u64) -> TokenReply {
         let mut accounts = self.accounts.borrow_mut();
         let answer = match accounts.acquire(self.context.now(), request, take_id) {
             AcquireResult::Granted => {
@@ -53,7 +53,7 @@
                 take_answer(denial)
             }
         };
-        TokenAnswer { answer, remaining: accounts.remaining(request).unwrap_or_default() }
+        TokenReply { answer, remaining: accounts.remaining(request).unwrap_or_default() }
     }
 
     /// Takes a token for one retry of `call` from its account.
@@ -98,7 +98,7 @@
         self.context.events.emit(EventKind::RetryDenied { request, service, reason });
     }
 
-    fn note_token(&self, call: &RoutedCall, token: Option<TokenAnswer>) {
+    fn note_token(&self, call: &RoutedCall, token: Option<TokenReply>) {
         let Some(token) = token else {
             self.deny_retry(call, DenialReason::Unreachable);
             return;
@@ -115,7 +115,7 @@
         }
     }
 
-    async fn ask_token(&self, account: NodeId, request: RequestId) -> Option<TokenAnswer> {
+    async fn ask_token(&self, account: NodeId, request: RequestId) -> Option<TokenReply> {
         let take_id = self.context.rng.borrow_mut().random::<u64>();
         if account == self.context.identity.node {
             return Some(self.take_own_token(request, take_id));
@@ -128,7 +128,7 @@
         account: NodeId,
         request: RequestId,
         take_id: u64,
-    ) -> Option<TokenAnswer> {
+    ) -> Option<TokenReply> {
         let link = self.links.get(account).await.ok()?;
         let mut take = link.client().take_retry_request();
         let (high, low) = split_id(request);
@@ -140,7 +140,7 @@
             Ok(response) => {
                 let response = response.get().ok()?;
                 let answer = read_take_answer(response.get_answer()).ok()?;
-                Some(TokenAnswer { answer, remaining: response.get_remaining() })
+                Some(TokenReply { answer, remaining: response.get_remaining() })
             }
             Err(_) => {
                 self.links.failed(account, &link);
--- a/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
@@ -19,7 +19,7 @@
 use crate::{
     dispatch::{
         context::{CREDIT_BYTES, GRANT_BYTES},
-        links::CreditWish,
+        links::CreditDemand,
     },
     metrics::ControlKind,
 };
@@ -127,7 +127,7 @@
         if wanted == 0 {
             return;
         }
-        let wish = CreditWish { wanted, used: quota.credit.borrow().used() };
+        let wish = CreditDemand { wanted, used: quota.credit.borrow().used() };
         quota.is_asking.set(true);
         let (ingress, team, quota) = (self.clone(), team.clone(), quota.clone());
         spawn_local(async move {
@@ -148,7 +148,7 @@
     }
 
     /// Asks who owns the credit of `team`, as far as this node knows; `None` if nobody says so of itself.
-    async fn ask_owners(&self, team: &TeamName, wish: CreditWish) -> Option<CreditGrant> {
+    async fn ask_owners(&self, team: &TeamName, wish: CreditDemand) -> Option<CreditGrant> {
         for service in self.owning_services(team) {
             self.watch(&service).await;
             let Some(owner) = self.owner.owner_in(&service, team) else {
@@ -174,10 +174,10 @@
         &self,
         owner: NodeId,
         team: &TeamName,
-        wish: CreditWish,
+        wish: CreditDemand,
     ) -> Option<CreditGrant> {
         if owner == self.context.identity.node {
-            return self.owner.ask(owner, team, wish);
+            return self.owner.grant(owner, team, wish);
         }
         timeout(ASK_TIMEOUT, self.ask_remote_owner(owner, team, wish)).await.ok()?
     }
@@ -186,7 +186,7 @@
         &self,
         owner: NodeId,
         team: &TeamName,
-        wish: CreditWish,
+        wish: CreditDemand,
     ) -> Option<CreditGrant> {
         let link = self.links.get(owner).await.ok()?;
         let mut take = link.client().take_credit_request();
--- a/crates/coltsfoot-node/src/dispatch/links/call_frame.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/call_frame.rs
@@ -20,9 +20,9 @@
 
 /// What a caller sends first. A connection for other questions begins with the number of a message's segments, which
 /// is never so large.
-pub(super) const PREFACE: [u8; FRAME_HEAD] = *b"CFCALLS1";
+pub(super) const CALLS_PREFACE: [u8; FRAME_HEAD_BYTES] = *b"CFCALLS1";
 /// Bytes of a frame's head, and of the preface.
-pub(super) const FRAME_HEAD: usize = 8;
+pub(super) const FRAME_HEAD_BYTES: usize = 8;
 
 const KIND_BITS: u32 = 8;
 const CALL: u32 = 1;
@@ -33,7 +33,7 @@
 const MAX_MESSAGE_BYTES: usize = 2 * MAX_BODY_BYTES;
 
 /// Room for a call or a reply beside its body, in words of eight bytes; more is allocated where it does not do.
-const USUAL_WORDS: u32 = 160;
+const OVERHEAD_WORDS: u32 = 160;
 /// Bytes in a word.
 const WORD_BYTES: usize = 8;
 
@@ -48,29 +48,29 @@
 }
 
 /// Numbers go from 0 up to this and then begin anew: no call is under way for so long.
-pub(super) const MAX_NUMBER: u32 = u32::MAX >> KIND_BITS;
+pub(super) const MAX_CALL_NUMBER: u32 = u32::MAX >> KIND_BITS;
 
 /// The frame of a call.
-pub(super) fn call_frame(number: u32, call: &CallRequest) -> Vec<u8> {
-    let mut message = message_for(call.body.len());
+pub(super) fn encode_call(number: u32, call: &CallRequest) -> Vec<u8> {
+    let mut message = message_builder(call.body.len());
     call.write(message.init_root::<call_request::Builder<'_>>());
-    framed(number, CALL, &message)
+    encode_frame(number, CALL, &message)
 }
 
 /// The frame of a reply.
-pub(super) fn reply_frame(number: u32, reply: &CallReply) -> Vec<u8> {
+pub(super) fn encode_reply(number: u32, reply: &CallReply) -> Vec<u8> {
     let body = match &reply.body {
         ReplyBody::Answer { body, .. } => body.len(),
         ReplyBody::Refusal { .. } => 0,
     };
-    let mut message = message_for(body);
+    let mut message = message_builder(body);
     reply.write(message.init_root::<call_reply::Builder<'_>>());
-    framed(number, REPLY, &message)
+    encode_frame(number, REPLY, &message)
 }
 
 /// The frame that gives a call up.
-pub(super) fn cancel_frame(number: u32) -> [u8; FRAME_HEAD] {
-    head(number, CANCEL, 0)
+pub(super) fn encode_cancel(number: u32) -> [u8; FRAME_HEAD_BYTES] {
+    encode_head(number, CANCEL, 0)
 }
 
 /// Reads the next frame; `None` at the end of the connection.
@@ -81,7 +81,7 @@
 pub(super) async fn read_frame(
     reader: &mut (impl AsyncRead + Unpin),
 ) -> Result<Option<CallFrame>, capnp::Error> {
-    let mut head = [0; FRAME_HEAD];
+    let mut head = [0; FRAME_HEAD_BYTES];
     match reader.read_exact(&mut head).await {
         Ok(()) => {}
         Err(err) if err.kind() == io::ErrorKind::UnexpectedEof => return Ok(None),
@@ -118,22 +118,22 @@
     serialize_packed::read_message(&bytes[..], ReaderOptions::new())
 }
 
-fn message_for(body_bytes: usize) -> Builder<HeapAllocator> {
+fn message_builder(body_bytes: usize) -> Builder<HeapAllocator> {
     let body_words = u32::try_from(body_bytes / WORD_BYTES).unwrap_or_default();
-    Builder::new(HeapAllocator::new().first_segment_words(USUAL_WORDS + body_words))
+    Builder::new(HeapAllocator::new().first_segment_words(OVERHEAD_WORDS + body_words))
 }
 
-fn framed(number: u32, kind: u32, message: &Builder<HeapAllocator>) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(FRAME_HEAD + message.size_in_words() * WORD_BYTES);
-    bytes.extend_from_slice(&[0; FRAME_HEAD]);
+fn encode_frame(number: u32, kind: u32, message: &Builder<HeapAllocator>) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(FRAME_HEAD_BYTES + message.size_in_words() * WORD_BYTES);
+    bytes.extend_from_slice(&[0; FRAME_HEAD_BYTES]);
     // Writing to a vector does not fail.
     let _ = serialize_packed::write_message(&mut bytes, message);
-    let length = bytes.len() - FRAME_HEAD;
-    bytes[..FRAME_HEAD].copy_from_slice(&head(number, kind, length));
+    let length = bytes.len() - FRAME_HEAD_BYTES;
+    bytes[..FRAME_HEAD_BYTES].copy_from_slice(&encode_head(number, kind, length));
     bytes
 }
 
-fn head(number: u32, kind: u32, length: usize) -> [u8; FRAME_HEAD] {
+fn encode_head(number: u32, kind: u32, length: usize) -> [u8; FRAME_HEAD_BYTES] {
     let tag = (number << KIND_BITS) | kind;
     // Bodies are bounded, and messages with them.
     let length = u32::try_from(length).unwrap_or(u32::MAX);
--- a/crates/coltsfoot-node/src/dispatch/links/call_link.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/call_link.rs
@@ -15,7 +15,9 @@
 
 use super::{
     LinkError,
-    call_frame::{CallFrame, MAX_NUMBER, PREFACE, call_frame, cancel_frame, read_frame},
+    call_frame::{
+        CALLS_PREFACE, CallFrame, MAX_CALL_NUMBER, encode_call, encode_cancel, read_frame,
+    },
     link_stream::{LinkReader, LinkWriter, link_stream},
 };
 use crate::journal::LOG_TARGET;
@@ -30,24 +32,24 @@
     writer: LinkWriter,
     next_number: Cell<u32>,
     /// Calls without a reply, by their number; `None` once the connection has ended.
-    open: RefCell<Option<IndexMap<u32, oneshot::Sender<CallReply>>>>,
+    pending: RefCell<Option<IndexMap<u32, oneshot::Sender<CallReply>>>>,
 }
 
 impl CallLink {
-    /// Begins the protocol on a connection that has just been opened; `place` is dropped when it ends. Call it within a
+    /// Begins the protocol on a connection that has just been opened; `registration` is dropped when it ends. Call it within a
     /// `LocalSet`.
-    pub fn open(stream: TcpStream, place: impl Sized + 'static) -> Self {
+    pub fn open(stream: TcpStream, registration: impl Sized + 'static) -> Self {
         let (reader, writer) = link_stream(stream);
-        writer.send(&PREFACE);
-        let open = RefCell::new(Some(IndexMap::new()));
-        let state = Rc::new(LinkState { writer, next_number: Cell::new(0), open });
+        writer.send(&CALLS_PREFACE);
+        let pending = RefCell::new(Some(IndexMap::new()));
+        let state = Rc::new(LinkState { writer, next_number: Cell::new(0), pending });
         let weak = Rc::downgrade(&state);
         spawn_local(async move {
-            take_replies(reader, &weak).await;
-            drop(place);
+            dispatch_replies(reader, &weak).await;
+            drop(registration);
             if let Some(state) = weak.upgrade() {
                 // Whoever waits for a reply hears that there is none.
-                state.open.take();
+                state.pending.take();
             }
         });
         Self { state }
@@ -61,45 +63,50 @@
     /// may have run.
     pub async fn call(&self, call: &CallRequest) -> Result<CallReply, LinkError> {
         let number = self.state.next_number.get();
-        self.state.next_number.set((number + 1) & MAX_NUMBER);
+        self.state.next_number.set((number + 1) & MAX_CALL_NUMBER);
         let (sender, receiver) = oneshot::channel();
-        self.state.open.borrow_mut().as_mut().ok_or(LinkError::Unreachable)?.insert(number, sender);
-        let _open = OpenCall { state: &self.state, number };
-        self.state.writer.send(&call_frame(number, call));
+        self.state
+            .pending
+            .borrow_mut()
+            .as_mut()
+            .ok_or(LinkError::Unreachable)?
+            .insert(number, sender);
+        let _pending = PendingCall { state: &self.state, number };
+        self.state.writer.send(&encode_call(number, call));
         receiver.await.map_err(|_| LinkError::Ended)
     }
 }
 
 /// A call under way; dropped before its reply, the other node is told that it is given up.
-struct OpenCall<'a> {
+struct PendingCall<'a> {
     state: &'a LinkState,
     number: u32,
 }
 
-impl Drop for OpenCall<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        let removed = self.state.forget(self.number);
+        let removed = self.state.remove_pending(self.number);
         if removed.is_some() {
-            self.state.writer.send(&cancel_frame(self.number));
+            self.state.writer.send(&encode_cancel(self.number));
         }
     }
 }
 
 impl LinkState {
     /// Takes a call out of those without a reply; `None` if it has one.
-    fn forget(&self, number: u32) -> Option<oneshot::Sender<CallReply>> {
-        self.open.borrow_mut().as_mut()?.swap_remove(&number)
+    fn remove_pending(&self, number: u32) -> Option<oneshot::Sender<CallReply>> {
+        self.pending.borrow_mut().as_mut()?.swap_remove(&number)
     }
 }
 
 /// Hands out replies until the connection ends.
-async fn take_replies(mut reader: LinkReader, state: &Weak<LinkState>) {
+async fn dispatch_replies(mut reader: LinkReader, state: &Weak<LinkState>) {
     loop {
         match read_frame(&mut reader).await {
             Ok(Some(CallFrame::Reply(number, reply))) => {
                 let Some(state) = state.upgrade() else { return };
                 // A call that was given up meanwhile needs no reply.
-                if let Some(sender) = state.forget(number) {
+                if let Some(sender) = state.remove_pending(number) {
                     let _ = sender.send(*reply);
                 }
             }
--- a/crates/coltsfoot-node/src/dispatch/links/call_service.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/call_service.rs
@@ -8,13 +8,13 @@
 
 use super::{
     CallHandler,
-    call_frame::{CallFrame, read_frame, reply_frame},
+    call_frame::{CallFrame, encode_reply, read_frame},
     link_stream::{LinkReader, LinkWriter},
 };
 use crate::journal::LOG_TARGET;
 
 /// Calls under way on one connection, by their number.
-type OpenCalls = Rc<RefCell<IndexMap<u32, AbortHandle>>>;
+type RunningCalls = Rc<RefCell<IndexMap<u32, AbortHandle>>>;
 
 /// Serves the calls of one connection until it ends; then what is under way is given up.
 pub async fn serve_calls<H: CallHandler + 'static>(
@@ -23,18 +23,19 @@
     handler: Rc<H>,
 ) {
     let writer = Rc::new(writer);
-    let open = OpenCalls::default();
+    let running = RunningCalls::default();
     // Dropped with this future, and all calls with it.
     let mut calls = JoinSet::new();
     loop {
         match read_frame(&mut reader).await {
             Ok(Some(CallFrame::Call(number, call))) => {
-                let task = serve_call(number, call, handler.clone(), writer.clone(), open.clone());
+                let task =
+                    serve_call(number, call, handler.clone(), writer.clone(), running.clone());
                 let abort = calls.spawn_local(task);
-                open.borrow_mut().insert(number, abort);
+                running.borrow_mut().insert(number, abort);
             }
             Ok(Some(CallFrame::Cancel(number))) => {
-                if let Some(abort) = open.borrow_mut().swap_remove(&number) {
+                if let Some(abort) = running.borrow_mut().swap_remove(&number) {
                     abort.abort();
                 }
             }
@@ -56,10 +57,10 @@
     call: Box<CallRequest>,
     handler: Rc<H>,
     writer: Rc<LinkWriter>,
-    open: OpenCalls,
+    running: RunningCalls,
 ) {
     // Boxed: the task is small to move while it is set up.
     let reply = Box::pin(handler.call(*call)).await;
-    open.borrow_mut().swap_remove(&number);
-    writer.send(&reply_frame(number, &reply));
+    running.borrow_mut().swap_remove(&number);
+    writer.send(&encode_reply(number, &reply));
 }
--- a/crates/coltsfoot-node/src/dispatch/links/case_keeper.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/case_store.rs
@@ -17,16 +17,16 @@
 };
 
 /// Time one request to the table service may take.
-const STORE_DEADLINE: Duration = Duration::from_secs(2);
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 /// First pause until the table service is asked again, doubled up to the longest.
 const FIRST_STORE_PAUSE: Duration = Duration::from_millis(500);
 /// Longest pause until the table service is asked again.
-const LONGEST_STORE_PAUSE: Duration = Duration::from_secs(10);
+const MAX_STORE_PAUSE: Duration = Duration::from_secs(10);
 /// How long an operator waits for what was changed to be written down: several times what a write takes.
-const WRITTEN_WAIT: Duration = Duration::from_secs(1);
+const MAX_WRITE_WAIT: Duration = Duration::from_secs(1);
 
 /// The rows of cases, as far as they are this node's to write.
-pub(super) struct CaseKeeper {
+pub(super) struct CaseStore {
     context: Rc<NodeContext>,
     store: StoreHandle,
     /// Cases to write down, the one that has waited longest first.
@@ -35,7 +35,7 @@
     written: Notify,
 }
 
-impl CaseKeeper {
+impl CaseStore {
     /// Nothing to write yet.
     pub(super) fn new(context: Rc<NodeContext>, store: StoreHandle) -> Self {
         let unwritten = RefCell::default();
@@ -43,7 +43,7 @@
     }
 
     /// The case is to be written down.
-    pub(super) fn write_down(&self, fingerprint: RequestFingerprint, term: CaseTerm) {
+    pub(super) fn queue_write(&self, fingerprint: RequestFingerprint, term: CaseTerm) {
         self.unwritten.borrow_mut().insert(fingerprint, term);
         self.unwritten_changed.notify_one();
     }
@@ -59,7 +59,7 @@
                 changed.await;
             }
         };
-        timeout(WRITTEN_WAIT, written).await.is_ok()
+        timeout(MAX_WRITE_WAIT, written).await.is_ok()
     }
 
     /// Writes cases down as they come.
@@ -73,7 +73,7 @@
                 continue;
             };
             let row = QuarantineRow { term, changed_ms: wall_millis() };
-            match self.ask(row.write(fingerprint)).await {
+            match self.request(row.write(fingerprint)).await {
                 TableReply::Unavailable | TableReply::Uncertain => {
                     pause = self.await_store(pause).await;
                 }
@@ -98,7 +98,7 @@
     pub(super) async fn read_cases(&self) -> Vec<CaseNote> {
         let mut pause = FIRST_STORE_PAUSE;
         loop {
-            if let TableReply::Rows(rows) = self.ask(QuarantineRow::scan()).await {
+            if let TableReply::Rows(rows) = self.request(QuarantineRow::scan()).await {
                 let wall = wall_millis();
                 let cases = rows.iter().filter_map(|row| QuarantineRow::read(row, wall));
                 let cases: Vec<_> = cases.collect();
@@ -121,16 +121,16 @@
         fingerprint: RequestFingerprint,
         term: CaseTerm,
     ) -> TrialClaim {
-        TrialClaim::of(&self.ask(trial_claim(fingerprint, term)).await)
+        TrialClaim::of(&self.request(trial_claim(fingerprint, term)).await)
     }
 
     /// Waits for about `pause` until the table service may be asked again; returns the next pause.
     async fn await_store(&self, pause: Duration) -> Duration {
         sleep(self.context.jittered(pause)).await;
-        (pause * 2).min(LONGEST_STORE_PAUSE)
+        (pause * 2).min(MAX_STORE_PAUSE)
     }
 
-    async fn ask(&self, request: TableRequest) -> TableReply {
-        self.store.request(request, STORE_DEADLINE, StoreUse::Quarantine).await
+    async fn request(&self, request: TableRequest) -> TableReply {
+        self.store.request(request, STORE_TIMEOUT, StoreUse::Quarantine).await
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/links/credit_owner.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/credit_owner.rs
@@ -18,10 +18,10 @@
 
 /// A question of a node for the credit of a team.
 #[derive(Clone, Copy, Debug)]
-pub struct CreditWish {
+pub struct CreditDemand {
     /// Requests to take in.
     pub wanted: u32,
-    /// Requests that were taken in unasked since the asker was last answered.
+    /// Requests that were taken in unasked since the requester was last answered.
     pub used: u32,
 }
 
@@ -64,14 +64,19 @@
     }
 
     /// Gives out credit of `team`; `None` if another node owns it.
-    pub fn ask(&self, asker: NodeId, team: &TeamName, wish: CreditWish) -> Option<CreditGrant> {
+    pub fn grant(
+        &self,
+        requester: NodeId,
+        team: &TeamName,
+        demand: CreditDemand,
+    ) -> Option<CreditGrant> {
         let config = self.context.config.load()?;
         let limit = config.teams().team(team)?.rate?;
         if !self.present.borrow().values().any(|nodes| self.is_first(team, nodes)) {
             return None;
         }
-        let CreditWish { wanted, used } = wish;
-        let request = CreditRequest { requester: asker, team, limit, wanted, used };
+        let CreditDemand { wanted, used } = demand;
+        let request = CreditRequest { requester, team, limit, wanted, used };
         let is_sole = self.is_sole(team);
         Some(self.ledger.borrow_mut().grant(self.context.now(), request, is_sole))
     }
--- a/crates/coltsfoot-node/src/dispatch/links/introduction_desk.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/introduction_service.rs
@@ -28,20 +28,20 @@
 const WRITE_PAUSE: Duration = Duration::from_secs(30);
 /// The same of a row that tells of a leave: its upstream waits for the acknowledgement, and repeats itself every second or
 /// two. Few upstreams leave at the same moment, so that a store that comes back is not flooded.
-const DEPARTED_PAUSE: Duration = Duration::from_millis(500);
+const DEPARTED_WRITE_PAUSE: Duration = Duration::from_millis(500);
 /// How long a leave waits for its row: together with a slow heartbeat within the second after which an upstream counts
 /// it as not acknowledged.
-const SETTLE_WAIT: Duration = Duration::from_millis(800);
+const MAX_SETTLE_WAIT: Duration = Duration::from_millis(800);
 /// How long a heartbeat waits for what the life before this one has written: within the same second.
-const RESUME_WAIT: Duration = Duration::from_millis(700);
+const MAX_PREVIOUS_ROW_WAIT: Duration = Duration::from_millis(700);
 /// Pause before that is read again; jittered.
-const RESUME_PAUSE: Duration = Duration::from_millis(250);
+const PREVIOUS_ROW_READ_PAUSE: Duration = Duration::from_millis(250);
 
 /// Start of the keys of the rows by which nodes find their upstreams.
 const UPSTREAM_PREFIX: &str = "upstream/";
 
 /// The node's own rows.
-pub struct IntroductionDesk {
+pub struct IntroductionService {
     context: Rc<NodeContext>,
     store: IntroductionStore,
     row: UpstreamRowWriter,
@@ -63,7 +63,7 @@
     written_changed: Notify,
 }
 
-impl IntroductionDesk {
+impl IntroductionService {
     /// No rows yet; `resumes` says whether the upstream refuses calls that are meant for another life of it.
     pub fn new(context: Rc<NodeContext>, store: IntroductionStore, resumes: bool) -> Self {
         let mut resume = ResumeWindow::new(context.now());
@@ -88,7 +88,7 @@
     }
 
     /// The rows shall speak of the upstream that announced itself so.
-    pub fn want(&self, announcement: &UpstreamAnnouncement) {
+    pub fn set_upstream(&self, announcement: &UpstreamAnnouncement) {
         let upstream = IntroducedUpstream {
             service: announcement.service.clone(),
             instance: announcement.life(),
@@ -109,7 +109,7 @@
             self.retract();
             return self.settle().await;
         }
-        if !self.wanted.borrow().tells_of_leave(&instance) {
+        if !self.wanted.borrow().records_leave(&instance) {
             self.set_wanted(OwnRows::Departed(instance));
         }
         self.settle().await
@@ -126,20 +126,20 @@
 
     /// Waits until it is known what the life before this one has written, up to a bound; returns whether it is, or no
     /// leave that it may have acknowledged matters any more.
-    pub async fn await_resumed(&self) -> bool {
-        if self.is_resuming() {
+    pub async fn await_previous_row(&self) -> bool {
+        if self.is_awaiting_previous_row() {
             // Past the bound the store is down or slow.
-            let _ = timeout(RESUME_WAIT, self.resumed.notified()).await;
+            let _ = timeout(MAX_PREVIOUS_ROW_WAIT, self.resumed.notified()).await;
         }
-        !self.is_resuming()
+        !self.is_awaiting_previous_row()
     }
 
-    fn is_resuming(&self) -> bool {
+    fn is_awaiting_previous_row(&self) -> bool {
         self.resume.get().is_open(self.context.now())
     }
 
     /// What the life before this one has written is known.
-    pub fn note_resumed(&self) {
+    pub fn note_previous_row_read(&self) {
         let mut resume = self.resume.get();
         resume.note_leaves_read();
         self.resume.set(resume);
@@ -147,7 +147,7 @@
     }
 
     /// Waits until the node's own row has been written, or has been tried to be.
-    pub async fn introduced(&self) {
+    pub async fn await_introduced(&self) {
         loop {
             let changed = self.written_changed.notified();
             if !self.introduced_as.borrow().is_empty() {
@@ -164,11 +164,11 @@
                 self.written_changed.notified().await;
             }
         };
-        timeout(SETTLE_WAIT, settled).await.is_ok()
+        timeout(MAX_SETTLE_WAIT, settled).await.is_ok()
     }
 
     /// Keeps the node's own rows as wanted.
-    pub async fn keep_introduced(self: Rc<Self>) {
+    pub async fn sync_rows(self: Rc<Self>) {
         loop {
             self.write_wanted().await;
             let changed = self.wanted_changed.notified();
@@ -177,7 +177,7 @@
                 continue;
             }
             let pause = match &*self.wanted.borrow() {
-                OwnRows::Departed(_) => DEPARTED_PAUSE,
+                OwnRows::Departed(_) => DEPARTED_WRITE_PAUSE,
                 OwnRows::Nothing | OwnRows::Serving(_) => WRITE_PAUSE,
             };
             // Either of the two is a reason to write again.
@@ -192,15 +192,15 @@
         }
         let wanted = self.wanted.borrow().clone();
         self.written.take();
-        let stands = self.write(&wanted).await;
+        let committed = self.write(&wanted).await;
         let mut services = self.introduced_as.borrow_mut();
-        if stands {
+        if committed {
             services.clear();
         }
         // A write without an answer may stand all the same, and is removed like one that does.
         services.extend(wanted.service().cloned());
         drop(services);
-        if stands {
+        if committed {
             *self.written.borrow_mut() = Some(wanted);
         }
         self.written_changed.notify_waiters();
@@ -250,12 +250,12 @@
 
     /// What the life before this one has written of its upstream. Reads until the store tells, and gives up once no leave
     /// matters any more that may stand there.
-    pub async fn read_row(&self) -> Option<UpstreamRow> {
-        while self.is_resuming() {
+    pub async fn read_previous_row(&self) -> Option<UpstreamRow> {
+        while self.is_awaiting_previous_row() {
             if let Ok(row) = self.row.read().await {
                 return row;
             }
-            sleep(self.context.jittered(RESUME_PAUSE)).await;
+            sleep(self.context.jittered(PREVIOUS_ROW_READ_PAUSE)).await;
         }
         None
     }
--- a/crates/coltsfoot-node/src/dispatch/links/introduction_store.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/introduction_store.rs
@@ -11,7 +11,7 @@
 use crate::store::StoreHandle;
 
 /// Time one request to the table service may take.
-const STORE_DEADLINE: Duration = Duration::from_secs(2);
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Reads and writes of the rows by which nodes find one another. Best effort, and never waited for by a call.
 #[derive(Clone)]
@@ -27,34 +27,34 @@
 
     /// Reads one of the node's own rows.
     pub async fn read_own(&self, request: TableRequest) -> TableReply {
-        self.ask(request, StoreUse::OwnRows).await
+        self.request(request, StoreUse::OwnRows).await
     }
 
     /// Changes the node's own rows.
     pub async fn change_own(&self, request: TableRequest) -> TableReply {
-        self.ask(request, StoreUse::OwnRows).await
+        self.request(request, StoreUse::OwnRows).await
     }
 
     /// The next part of a scan of all nodes' rows.
     pub async fn scan(&self, scan: &mut IntroductionScan) -> Vec<IntroducedNode> {
-        let reply = self.ask(scan.request(), StoreUse::NodeScan).await;
+        let reply = self.request(scan.request(), StoreUse::NodeScan).await;
         let found = scan.handle_reply(&reply);
         if !found.is_empty() || !scan.is_at_start() {
             return found;
         }
         // Started behind the last row.
-        let reply = self.ask(scan.request(), StoreUse::NodeScan).await;
+        let reply = self.request(scan.request(), StoreUse::NodeScan).await;
         scan.handle_reply(&reply)
     }
 
     /// Nodes whose rows say that their upstream is one of `service`.
     pub async fn members_of(&self, service: &ServiceName) -> Vec<IntroducedNode> {
         let mut scan = IntroductionScan::of_service(service);
-        let reply = self.ask(scan.request(), StoreUse::MemberScan).await;
+        let reply = self.request(scan.request(), StoreUse::MemberScan).await;
         scan.handle_reply(&reply)
     }
 
-    async fn ask(&self, request: TableRequest, store_use: StoreUse) -> TableReply {
-        self.store.request(request, STORE_DEADLINE, store_use).await
+    async fn request(&self, request: TableRequest, store_use: StoreUse) -> TableReply {
+        self.store.request(request, STORE_TIMEOUT, store_use).await
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/links/link_table.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/link_table.rs
@@ -26,24 +26,24 @@
     next_serial: Cell<u64>,
 }
 
-/// The place of one connection in its table. Dropped, the table forgets the connection: a call sent over it later
+/// The registration of one connection in its table. Dropped, the table forgets the connection: a call sent over it later
 /// would be lost with an unknown outcome.
-pub(super) struct LinkPlace<L> {
+pub(super) struct LinkRegistration<L> {
     slots: LinkSlots<L>,
     node: NodeId,
     serial: u64,
 }
 
-impl<L> LinkPlace<L> {
+impl<L> LinkRegistration<L> {
     /// The number of the connection, never used again for another one.
     pub(super) fn serial(&self) -> u64 {
         self.serial
     }
 }
 
-impl<L> Drop for LinkPlace<L> {
+impl<L> Drop for LinkRegistration<L> {
     fn drop(&mut self) {
-        forget(&self.slots, self.node, self.serial);
+        remove_link(&self.slots, self.node, self.serial);
     }
 }
 
@@ -62,14 +62,14 @@
         &self,
         now: MonotonicTime,
         node: NodeId,
-        open: impl AsyncFnOnce(LinkPlace<L>) -> Result<L, LinkError>,
+        open: impl AsyncFnOnce(LinkRegistration<L>) -> Result<L, LinkError>,
     ) -> Result<L, LinkError> {
         let (cell, serial) = self.slot(now, node);
         if let Some(link) = cell.get() {
             return Ok(link.clone());
         }
-        let place = || LinkPlace { slots: self.slots.clone(), node, serial };
-        let link = cell.get_or_try_init(|| open(place())).await;
+        let registration = || LinkRegistration { slots: self.slots.clone(), node, serial };
+        let link = cell.get_or_try_init(|| open(registration())).await;
         link.cloned()
     }
 
@@ -85,8 +85,8 @@
     }
 
     /// Forgets a connection that failed, unless it has been replaced since.
-    pub(super) fn failed(&self, node: NodeId, serial: u64) {
-        forget(&self.slots, node, serial);
+    pub(super) fn remove_failed(&self, node: NodeId, serial: u64) {
+        remove_link(&self.slots, node, serial);
     }
 
     /// Forgets connections that have not been used since `since`. A call in flight holds a clone of its link.
@@ -100,7 +100,7 @@
     }
 }
 
-fn forget<L>(slots: &LinkSlots<L>, node: NodeId, serial: u64) {
+fn remove_link<L>(slots: &LinkSlots<L>, node: NodeId, serial: u64) {
     let mut slots = slots.borrow_mut();
     if slots.get(&node).is_some_and(|slot| slot.serial == serial) {
         slots.swap_remove(&node);
--- a/crates/coltsfoot-node/src/dispatch/links/own_rows.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/own_rows.rs
@@ -26,7 +26,7 @@
     }
 
     /// Whether the leave of this life, or of a later one of its name, is told.
-    pub(super) fn tells_of_leave(&self, life: &InstanceIncarnation) -> bool {
-        matches!(self, Self::Departed(told) if told.name == life.name && life.started <= told.started)
+    pub(super) fn records_leave(&self, incarnation: &InstanceIncarnation) -> bool {
+        matches!(self, Self::Departed(departed) if departed.name == incarnation.name && incarnation.started <= departed.started)
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/links/peer_handler.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/peer_handler.rs
@@ -10,12 +10,12 @@
     quota::CreditGrant,
 };
 
-use super::CreditWish;
+use super::CreditDemand;
 use crate::dispatch::context::NodeContext;
 
 /// What the node that keeps a retry account says to a request for a token.
 #[derive(Clone, Copy, Debug)]
-pub struct TokenAnswer {
+pub struct TokenReply {
     /// Whether it is granted.
     pub answer: TakeAnswer,
     /// Tokens left in the account.
@@ -34,13 +34,18 @@
     fn context(&self) -> &NodeContext;
 
     /// Takes a token from a retry account kept here.
-    fn take_token(&self, request: RequestId, take_id: u64) -> TokenAnswer;
+    fn acquire_token(&self, request: RequestId, take_id: u64) -> TokenReply;
 
     /// Takes in news of ended upstreams; returns all that this node knows of them if `wants_all`.
-    fn hear_quarantine(&self, news: QuarantineUpdate, wants_all: bool) -> QuarantineUpdate;
+    fn receive_quarantine(&self, news: QuarantineUpdate, wants_all: bool) -> QuarantineUpdate;
 
     /// Gives out credit of `team`; `None` if another node owns it.
-    fn take_credit(&self, asker: NodeId, team: &TeamName, wish: CreditWish) -> Option<CreditGrant>;
+    fn acquire_credit(
+        &self,
+        requester: NodeId,
+        team: &TeamName,
+        demand: CreditDemand,
+    ) -> Option<CreditGrant>;
 
     /// What became of a claim of this life of the node.
     fn claim_state(&self, claim: RequestId) -> ClaimState;
--- a/crates/coltsfoot-node/src/dispatch/links/peer_links.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/peer_links.rs
@@ -11,7 +11,7 @@
 use super::{
     call_link::CallLink,
     link_stream::link_stream,
-    link_table::{LinkPlace, LinkTable},
+    link_table::{LinkRegistration, LinkTable},
 };
 use crate::clock::MonotonicClock;
 
@@ -19,7 +19,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// A connection whose peer has not acknowledged what was sent for so many milliseconds is given up. Hosts of
 /// one region answer within some; a lost packet is sent again twice within this time.
-const UNACKNOWLEDGED_MS: u32 = 1_500;
+const TCP_USER_TIMEOUT_MS: u32 = 1_500;
 /// A connection not used for so long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -52,14 +52,14 @@
 /// few.
 pub struct PeerLinks {
     clock: MonotonicClock,
-    questions: LinkTable<PeerLink>,
+    requests: LinkTable<PeerLink>,
     calls: LinkTable<CallLink>,
 }
 
 impl PeerLinks {
     /// No connections yet.
     pub fn new(clock: MonotonicClock) -> Self {
-        Self { clock, questions: LinkTable::new(), calls: LinkTable::new() }
+        Self { clock, requests: LinkTable::new(), calls: LinkTable::new() }
     }
 
     /// The connection to `node` for questions other than calls.
@@ -68,7 +68,9 @@
     ///
     /// [`LinkError::Unreachable`] if the node does not accept it in time.
     pub async fn get(&self, node: NodeId) -> Result<PeerLink, LinkError> {
-        self.questions.get(self.clock.now(), node, async |place| open(node, place).await).await
+        self.requests
+            .get(self.clock.now(), node, async |registration| open_link(node, registration).await)
+            .await
     }
 
     /// The connection to `node` for calls.
@@ -77,40 +79,43 @@
     ///
     /// [`LinkError::Unreachable`] if the node does not accept it in time.
     pub async fn call_link(&self, node: NodeId) -> Result<CallLink, LinkError> {
-        let open = async |place| Ok(CallLink::open(connect(node).await?, place));
+        let open = async |registration| Ok(CallLink::open(connect(node).await?, registration));
         self.calls.get(self.clock.now(), node, open).await
     }
 
     /// Forgets a connection that failed, unless it has been replaced since.
     pub fn failed(&self, node: NodeId, link: &PeerLink) {
-        self.questions.failed(node, link.serial);
+        self.requests.remove_failed(node, link.serial);
     }
 
     /// Closes connections that have been idle for long.
     pub fn close_idle(&self) {
         let now = self.clock.now();
         if now.since(MonotonicTime::ZERO) > IDLE_TIMEOUT {
-            self.questions.close_unused(now - IDLE_TIMEOUT);
+            self.requests.close_unused(now - IDLE_TIMEOUT);
             self.calls.close_unused(now - IDLE_TIMEOUT);
         }
     }
 
     /// Number of connections.
     pub fn count(&self) -> usize {
-        self.questions.count() + self.calls.count()
+        self.requests.count() + self.calls.count()
     }
 }
 
-async fn open(node: NodeId, place: LinkPlace<PeerLink>) -> Result<PeerLink, LinkError> {
+async fn open_link(
+    node: NodeId,
+    registration: LinkRegistration<PeerLink>,
+) -> Result<PeerLink, LinkError> {
     let (reader, writer) = link_stream(connect(node).await?);
     let network = VatNetwork::new(reader, writer, Side::Client, Default::default());
     let mut system = RpcSystem::new(Box::new(network), None);
     let client = system.bootstrap(Side::Server);
-    let serial = place.serial();
+    let serial = registration.serial();
     tokio::task::spawn_local(async move {
         // Ends when the connection fails or its last user drops the client.
         let _ = system.await;
-        drop(place);
+        drop(registration);
     });
     Ok(PeerLink { client, serial })
 }
@@ -122,6 +127,6 @@
         .map_err(|_| LinkError::Unreachable)?;
     stream.set_nodelay(true).map_err(|_| LinkError::Unreachable)?;
     // Without it a host that has gone without a word holds every call until its own deadline.
-    set_tcp_user_timeout(&stream, UNACKNOWLEDGED_MS).map_err(|_| LinkError::Unreachable)?;
+    set_tcp_user_timeout(&stream, TCP_USER_TIMEOUT_MS).map_err(|_| LinkError::Unreachable)?;
     Ok(stream)
 }
--- a/crates/coltsfoot-node/src/dispatch/links/peer_server.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/peer_server.rs
@@ -16,8 +16,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::{
-    CreditWish, PeerHandler,
-    call_frame::{FRAME_HEAD, PREFACE},
+    CreditDemand, PeerHandler,
+    call_frame::{CALLS_PREFACE, FRAME_HEAD_BYTES},
     call_service::serve_calls,
     link_stream::{LinkReader, LinkWriter, link_stream},
 };
@@ -52,7 +52,7 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let request = join_id(params.get_request_high(), params.get_request_low());
-        let token = self.handler.take_token(request, params.get_take_id());
+        let token = self.handler.acquire_token(request, params.get_take_id());
         results.get().set_answer(write_take_answer(token.answer));
         results.get().set_remaining(token.remaining);
         self.handler.context().count_answered(ControlKind::Account, TAKE_BYTES, WORD_BYTES);
@@ -77,10 +77,14 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let news = read_quarantine_news(params.get_news()?)?;
-        let heard = news.wire_bytes() + WORD_BYTES;
-        let reply = self.handler.hear_quarantine(news, params.get_wants_all());
+        let received_bytes = news.wire_bytes() + WORD_BYTES;
+        let reply = self.handler.receive_quarantine(news, params.get_wants_all());
         write_quarantine_news(&reply, results.get().init_news());
-        self.handler.context().count_answered(ControlKind::Quarantine, heard, reply.wire_bytes());
+        self.handler.context().count_answered(
+            ControlKind::Quarantine,
+            received_bytes,
+            reply.wire_bytes(),
+        );
         Ok(())
     }
 
@@ -90,12 +94,12 @@
         mut results: peer::TakeCreditResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let asker = NodeId(
+        let requester = NodeId(
             read_address(params.get_asker()?).map_err(|err| Error::failed(err.to_string()))?,
         );
         let team = TeamName::new(params.get_team()?.to_str()?);
-        let wish = CreditWish { wanted: params.get_wanted(), used: params.get_used() };
-        let grant = self.handler.take_credit(asker, &team, wish);
+        let demand = CreditDemand { wanted: params.get_wanted(), used: params.get_used() };
+        let grant = self.handler.acquire_credit(requester, &team, demand);
         let mut answer = results.get();
         answer.set_is_owner(grant.is_some());
         if let Some(CreditGrant { granted, wait, share_milli }) = grant {
@@ -147,12 +151,12 @@
     writer: LinkWriter,
     handler: Rc<H>,
 ) {
-    let mut first = [0; FRAME_HEAD];
+    let mut first = [0; FRAME_HEAD_BYTES];
     // A peer that goes before it has said anything wants nothing.
     if reader.read_exact(&mut first).await.is_err() {
         return;
     }
-    if first == PREFACE {
+    if first == CALLS_PREFACE {
         return serve_calls(reader, writer, handler).await;
     }
     let reader = Cursor::new(first).chain(reader);
--- a/crates/coltsfoot-node/src/dispatch/links/quarantine_desk.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/quarantine_service.rs
@@ -18,7 +18,7 @@
 use rand::seq::IteratorRandom as _;
 use tokio::time::timeout;
 
-use super::{PeerLinks, case_keeper::CaseKeeper};
+use super::{PeerLinks, case_store::CaseStore};
 use crate::{
     dispatch::context::{NodeContext, WORD_BYTES},
     gossip::GossipCommand,
@@ -37,9 +37,9 @@
 /// that comes a few times a second ends that many in some ten seconds, and is known after three.
 const CRASHES_BURST: f64 = 32.0;
 /// Longest wait for a node that is told or asked.
-const TELL_TIMEOUT: Duration = Duration::from_secs(1);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Requests that this node has suspected itself and whose cases it writes down.
-const MOST_OWN_SUSPECTS: usize = 1_024;
+const MAX_OWN_SUSPECTS: usize = 1_024;
 
 /// What is held against a call.
 #[derive(Clone, Copy, Debug)]
@@ -52,41 +52,41 @@
 
 /// What became of an operator's word that a request is let go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LetGoResult {
+pub enum ReleaseResult {
     /// It was not held back.
     NotHeld,
     /// It is let go, and stays so whatever becomes of the nodes.
-    Kept,
+    Stored,
     /// It is let go here and told to others, and not written down yet: if all nodes start anew before the table service
     /// answers it is held back again.
-    Unkept,
+    NotStored,
 }
 
 /// What this node knows of requests that end their upstreams, how it tells others, and how it outlasts them.
 ///
 /// Ends of upstreams and cases go from node to node; cases also stand in the table service, so that nodes that all start
 /// anew still know them.
-pub struct QuarantineDesk {
+pub struct QuarantineService {
     context: Rc<NodeContext>,
     links: Rc<PeerLinks>,
-    keeper: CaseKeeper,
+    case_store: CaseStore,
     register: RefCell<QuarantineRegister>,
     /// Present members of the services that this node watches.
     peers: RefCell<IndexMap<ServiceName, Vec<NodeId>>>,
-    /// What this node's own upstream has ended with, the newest. Invariant: at most [`MOST_OWN_SUSPECTS`].
+    /// What this node's own upstream has ended with, the newest. Invariant: at most [`MAX_OWN_SUSPECTS`].
     own_suspects: RefCell<IndexSet<RequestFingerprint>>,
     /// Ends that may be told of now.
     crash_budget: RefCell<TokenBucket>,
 }
 
-impl QuarantineDesk {
+impl QuarantineService {
     /// Nothing known yet.
     pub fn new(context: Rc<NodeContext>, links: Rc<PeerLinks>, store: StoreHandle) -> Self {
-        let keeper = CaseKeeper::new(context.clone(), store);
+        let case_store = CaseStore::new(context.clone(), store);
         Self {
             context,
             links,
-            keeper,
+            case_store,
             register: RefCell::default(),
             peers: RefCell::default(),
             own_suspects: RefCell::default(),
@@ -122,17 +122,17 @@
     pub async fn claim_trial(&self, request: RequestId, fingerprint: RequestFingerprint) -> bool {
         let term = self.register.borrow().term(fingerprint);
         // Others that come meanwhile are held back.
-        self.note_trial(fingerprint, TrialClaim::Unavailable);
-        let claim = self.keeper.claim_trial(fingerprint, term).await;
-        self.note_trial(fingerprint, claim);
-        let taken = claim == TrialClaim::Granted;
-        if taken {
+        self.record_trial_claim(fingerprint, TrialClaim::Unavailable);
+        let claim = self.case_store.claim_trial(fingerprint, term).await;
+        self.record_trial_claim(fingerprint, claim);
+        let granted = claim == TrialClaim::Granted;
+        if granted {
             self.context.events.emit(EventKind::QuarantineTrial { request, fingerprint });
         }
-        taken
+        granted
     }
 
-    fn note_trial(&self, fingerprint: RequestFingerprint, claim: TrialClaim) {
+    fn record_trial_claim(&self, fingerprint: RequestFingerprint, claim: TrialClaim) {
         let now = self.context.now();
         self.register.borrow_mut().record_trial(now, fingerprint, claim);
     }
@@ -144,7 +144,7 @@
         }
         let mut own = self.own_suspects.borrow_mut();
         for suspect in &suspects {
-            if own.len() >= MOST_OWN_SUSPECTS {
+            if own.len() >= MAX_OWN_SUSPECTS {
                 own.shift_remove_index(0);
             }
             own.insert(*suspect);
@@ -152,7 +152,7 @@
         drop(own);
         let report = CrashReport { crash, age: Duration::ZERO, suspects };
         let news = QuarantineUpdate { crashes: vec![report], ..QuarantineUpdate::default() };
-        self.take_news(news, FIRST_FANOUT);
+        self.merge_news(news, FIRST_FANOUT);
     }
 
     /// The upstream beside this node has answered a call. `fingerprint` is asked for only while something is suspected.
@@ -164,24 +164,27 @@
         let note = self.register.borrow_mut().record_answer(now, fingerprint());
         if let Some(note) = note {
             let answers = vec![note];
-            self.settle_changes();
-            self.tell(QuarantineUpdate { answers, ..QuarantineUpdate::default() }, FIRST_FANOUT);
+            self.publish_changes();
+            self.send_news(
+                QuarantineUpdate { answers, ..QuarantineUpdate::default() },
+                FIRST_FANOUT,
+            );
         }
     }
 
     /// An operator lets a request go. Waits up to a bound until that is written down.
-    pub async fn let_go(self: &Rc<Self>, fingerprint: RequestFingerprint) -> LetGoResult {
+    pub async fn release(self: &Rc<Self>, fingerprint: RequestFingerprint) -> ReleaseResult {
         let now = self.context.now();
         if !self.register.borrow_mut().release(now, fingerprint) {
-            return LetGoResult::NotHeld;
+            return ReleaseResult::NotHeld;
         }
         self.own_suspects.borrow_mut().insert(fingerprint);
-        self.settle_changes();
+        self.publish_changes();
         let cases = self.register.borrow().cases(now);
-        self.tell(QuarantineUpdate { cases, ..QuarantineUpdate::default() }, FIRST_FANOUT);
-        match self.keeper.await_written(fingerprint).await {
-            true => LetGoResult::Kept,
-            false => LetGoResult::Unkept,
+        self.send_news(QuarantineUpdate { cases, ..QuarantineUpdate::default() }, FIRST_FANOUT);
+        match self.case_store.await_written(fingerprint).await {
+            true => ReleaseResult::Stored,
+            false => ReleaseResult::NotStored,
         }
     }
 
@@ -191,16 +194,16 @@
     }
 
     /// Takes in what another node tells, and passes on what is new of it.
-    pub fn hear(self: &Rc<Self>, news: QuarantineUpdate) {
-        self.take_news(news, NEXT_FANOUT);
+    pub fn receive(self: &Rc<Self>, news: QuarantineUpdate) {
+        self.merge_news(news, NEXT_FANOUT);
     }
 
     /// Asks `peer` for all that it knows: what it holds back differs from what this node does.
     pub async fn pull(self: Rc<Self>, peer: NodeId) {
-        let nothing = QuarantineUpdate::default();
-        let asked = timeout(TELL_TIMEOUT, self.exchange(peer, &nothing, true)).await;
-        if let Ok(Some(news)) = asked {
-            self.hear(news);
+        let no_news = QuarantineUpdate::default();
+        let response = timeout(EXCHANGE_TIMEOUT, self.exchange(peer, &no_news, true)).await;
+        if let Ok(Some(news)) = response {
+            self.receive(news);
         }
     }
 
@@ -215,21 +218,21 @@
     }
 
     /// Reads the cases that stand in the table service, then writes down those of this node as they come.
-    pub async fn keep_cases(self: Rc<Self>) {
-        let cases = self.keeper.read_cases().await;
-        self.hear(QuarantineUpdate { cases, ..QuarantineUpdate::default() });
-        self.keeper.write_cases().await;
+    pub async fn sync_cases(self: Rc<Self>) {
+        let cases = self.case_store.read_cases().await;
+        self.receive(QuarantineUpdate { cases, ..QuarantineUpdate::default() });
+        self.case_store.write_cases().await;
     }
 
-    fn take_news(self: &Rc<Self>, news: QuarantineUpdate, fanout: usize) {
+    fn merge_news(self: &Rc<Self>, news: QuarantineUpdate, fanout: usize) {
         let now = self.context.now();
         let fresh = self.register.borrow_mut().merge(now, news);
-        self.settle_changes();
-        self.tell(fresh, fanout);
+        self.publish_changes();
+        self.send_news(fresh, fanout);
     }
 
     /// Tells the journal, the metrics and the gossip duty of cases that changed, and notes those to write down.
-    fn settle_changes(self: &Rc<Self>) {
+    fn publish_changes(self: &Rc<Self>) {
         let changes = self.register.borrow_mut().drain_changes();
         if changes.is_empty() {
             return;
@@ -244,7 +247,7 @@
                 crashes,
             });
             if self.own_suspects.borrow().contains(&fingerprint) {
-                self.keeper.write_down(fingerprint, term);
+                self.case_store.queue_write(fingerprint, term);
             }
         }
         let register = self.register.borrow();
@@ -258,7 +261,7 @@
         });
     }
 
-    fn tell(self: &Rc<Self>, mut news: QuarantineUpdate, fanout: usize) {
+    fn send_news(self: &Rc<Self>, mut news: QuarantineUpdate, fanout: usize) {
         let now = self.context.now();
         let mut budget = self.crash_budget.borrow_mut();
         news.crashes.retain(|_| budget.acquire(now, 0.0, Duration::ZERO).is_some());
@@ -267,13 +270,13 @@
             return;
         }
         let known: IndexSet<_> = self.peers.borrow().values().flatten().copied().collect();
-        let told = known.into_iter().sample(&mut *self.context.rng.borrow_mut(), fanout);
+        let recipients = known.into_iter().sample(&mut *self.context.rng.borrow_mut(), fanout);
         let news = Rc::new(news);
-        for peer in told {
-            let (desk, news) = (self.clone(), news.clone());
+        for peer in recipients {
+            let (service, news) = (self.clone(), news.clone());
             tokio::task::spawn_local(async move {
                 // One that can't be told hears from others, or sees by their digest that it lacks something.
-                let _ = timeout(TELL_TIMEOUT, desk.exchange(peer, &news, false)).await;
+                let _ = timeout(EXCHANGE_TIMEOUT, service.exchange(peer, &news, false)).await;
             });
         }
     }
--- a/crates/coltsfoot-node/src/dispatch/links/upstream_row_writer.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/upstream_row_writer.rs
@@ -25,10 +25,10 @@
     }
 
     /// What the row says: `Err` where the store has not told, `Ok(None)` where there is none that can be used.
-    pub(super) async fn read(&self) -> Result<Option<UpstreamRow>, RowUnread> {
+    pub(super) async fn read(&self) -> Result<Option<UpstreamRow>, RowReadError> {
         let read = TableRequest::Read(self.key.clone());
         let TableReply::Rows(rows) = self.store.read_own(read).await else {
-            return Err(RowUnread);
+            return Err(RowReadError);
         };
         let Some(row) = rows.first() else {
             self.expected.set(Some(RowCondition::Absent));
@@ -49,11 +49,11 @@
 
     /// Writes or removes the row together with `others`; returns whether all of it stands for certain.
     pub(super) async fn change(&self, row: Option<&UpstreamRow>, others: Vec<RowWrite>) -> bool {
-        let was_read_before = self.expected.get().is_some();
+        let had_condition = self.expected.get().is_some();
         match self.write_over(row, &others).await {
             TableReply::Committed => true,
             // A late write of an earlier life has come in between.
-            TableReply::Conflict(_) if was_read_before => {
+            TableReply::Conflict(_) if had_condition => {
                 self.write_over(row, &others).await == TableReply::Committed
             }
             _ => false,
@@ -78,4 +78,4 @@
 
 /// The store has not told what the row says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct RowUnread;
+pub(super) struct RowReadError;
--- a/crates/coltsfoot-node/src/dispatch/quarantine_body.rs
+++ b/crates/coltsfoot-node/src/dispatch/quarantine_body.rs
@@ -5,7 +5,7 @@
 use coltsfootroute::quarantine::RequestFingerprint;
 use http::StatusCode;
 
-use super::links::{LetGoResult, QuarantineDesk};
+use super::links::{QuarantineService, ReleaseResult};
 use crate::http::HttpReply;
 
 /// One case, as operators see it.
@@ -21,7 +21,7 @@
 }
 
 /// All cases.
-pub(super) fn quarantine_reply(desk: &QuarantineDesk) -> HttpReply {
+pub(super) fn quarantine_reply(desk: &QuarantineService) -> HttpReply {
     let cases = desk.all().cases.into_iter().map(|case| CaseBody {
         fingerprint: case.fingerprint,
         held: case.term.is_held(),
@@ -34,16 +34,16 @@
 
 /// Lets a request go.
 pub(super) async fn let_go_reply(
-    desk: &Rc<QuarantineDesk>,
+    desk: &Rc<QuarantineService>,
     fingerprint: RequestFingerprint,
 ) -> HttpReply {
-    let (status, body) = match desk.let_go(fingerprint).await {
-        LetGoResult::Kept => (StatusCode::OK, serde_json::json!({ "held": false })),
-        LetGoResult::Unkept => {
+    let (status, body) = match desk.release(fingerprint).await {
+        ReleaseResult::Stored => (StatusCode::OK, serde_json::json!({ "held": false })),
+        ReleaseResult::NotStored => {
             let message = "let go, and not written down yet: the table service does not answer";
             (StatusCode::ACCEPTED, serde_json::json!({ "held": false, "message": message }))
         }
-        LetGoResult::NotHeld => {
+        ReleaseResult::NotHeld => {
             let message = "no such request is held back";
             (StatusCode::NOT_FOUND, serde_json::json!({ "message": message }))
         }
