--- a/crates/coltsfoot-node/src/dispatch/links/call_frame.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/call_frame.rs
@@ -1,8 +1,8 @@
-//! Frames of the connection that calls go over.
+//! Encodes and decodes the frames of call connections.
 //!
-//! A frame is two numbers of four bytes, little-endian: one with the number of a call and the kind of the frame, and the
-//! length of what follows. That is, for a call and its reply, one Cap'n Proto message in its packed form: zeros make more
-//! than a third of a message without a body, and bytes between failure domains have their price.
+//! A frame starts with two little-endian 32-bit numbers: the call number with the frame kind, and the payload length in
+//! bytes. The payload of a call or a reply is one packed Cap'n Proto message: zeros make up more than a third of a
+//! message without a body, and traffic between failure domains is charged for.
 
 use std::io;
 
@@ -18,10 +18,10 @@
 use coltsfootroute::constants::MAX_BODY_BYTES;
 use futures_util::{AsyncRead, AsyncReadExt as _};
 
-/// What a caller sends first. A connection for other questions begins with the number of a message's segments, which
-/// is never so large.
+/// First bytes that a caller sends on a call connection. A connection for other requests begins with the segment count
+/// of a message, which is never this large.
 pub(super) const CALLS_PREFACE: [u8; FRAME_HEAD_BYTES] = *b"CFCALLS1";
-/// Bytes of a frame's head, and of the preface.
+/// Size of a frame header and of the preface, in bytes.
 pub(super) const FRAME_HEAD_BYTES: usize = 8;
 
 const KIND_BITS: u32 = 8;
@@ -29,35 +29,36 @@
 const REPLY: u32 = 2;
 const CANCEL: u32 = 3;
 
-/// Longest packed message: a body and as much again for everything else.
+/// Maximum size of a packed message in bytes: the largest body and the same amount for everything else.
 const MAX_MESSAGE_BYTES: usize = 2 * MAX_BODY_BYTES;
 
-/// Room for a call or a reply beside its body, in words of eight bytes; more is allocated where it does not do.
+/// Space reserved for a call or a reply in addition to its body, in words of eight bytes; a larger message allocates
+/// more.
 const OVERHEAD_WORDS: u32 = 160;
-/// Bytes in a word.
+/// Size of a Cap'n Proto word in bytes.
 const WORD_BYTES: usize = 8;
 
-/// One frame, read.
+/// A decoded frame.
 pub(super) enum CallFrame {
-    /// A call that the caller numbers.
+    /// A call with the number that the caller assigned to it.
     Call(u32, Box<CallRequest>),
-    /// The reply to a call.
+    /// The reply to the call with this number.
     Reply(u32, Box<CallReply>),
-    /// The caller has given the call up.
+    /// The caller has cancelled the call with this number.
     Cancel(u32),
 }
 
-/// Numbers go from 0 up to this and then begin anew: no call is under way for so long.
+/// Maximum call number; numbers wrap to 0 after it. No call is in flight long enough for its number to be reused.
 pub(super) const MAX_CALL_NUMBER: u32 = u32::MAX >> KIND_BITS;
 
-/// The frame of a call.
+/// Encodes a call as a frame.
 pub(super) fn encode_call(number: u32, call: &CallRequest) -> Vec<u8> {
     let mut message = message_builder(call.body.len());
     call.write(message.init_root::<call_request::Builder<'_>>());
     encode_frame(number, CALL, &message)
 }
 
-/// The frame of a reply.
+/// Encodes a reply as a frame.
 pub(super) fn encode_reply(number: u32, reply: &CallReply) -> Vec<u8> {
     let body = match &reply.body {
         ReplyBody::Answer { body, .. } => body.len(),
@@ -68,16 +69,16 @@
     encode_frame(number, REPLY, &message)
 }
 
-/// The frame that gives a call up.
+/// Encodes a frame that cancels a call.
 pub(super) fn encode_cancel(number: u32) -> [u8; FRAME_HEAD_BYTES] {
     encode_head(number, CANCEL, 0)
 }
 
-/// Reads the next frame; `None` at the end of the connection.
+/// Reads the next frame; returns `None` at the end of the connection.
 ///
 /// # Errors
 ///
-/// If the connection fails within a frame, or a frame is malformed.
+/// Returns an error if the connection fails within a frame, or a frame is malformed.
 pub(super) async fn read_frame(
     reader: &mut (impl AsyncRead + Unpin),
 ) -> Result<Option<CallFrame>, capnp::Error> {
@@ -88,7 +89,7 @@
         Err(err) => return Err(err.into()),
     }
     let word = u64::from_le_bytes(head);
-    // The lower half is number and kind, the upper half the length.
+    // The lower half holds the call number and the kind, the upper half the payload length.
     let (tag, length) = (word as u32, (word >> u32::BITS) as usize);
     let number = tag >> KIND_BITS;
     let frame = match tag & ((1 << KIND_BITS) - 1) {
@@ -135,7 +136,7 @@
 
 fn encode_head(number: u32, kind: u32, length: usize) -> [u8; FRAME_HEAD_BYTES] {
     let tag = (number << KIND_BITS) | kind;
-    // Bodies are bounded, and messages with them.
+    // The body size is bounded, so the message size is too.
     let length = u32::try_from(length).unwrap_or(u32::MAX);
     ((u64::from(length) << u32::BITS) | u64::from(tag)).to_le_bytes()
 }
--- a/crates/coltsfoot-node/src/dispatch/links/call_link.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/call_link.rs
@@ -1,8 +1,8 @@
-//! A connection to another node for calls.
+//! Connections to other nodes for calls.
 //!
-//! Calls make nearly all of the traffic between nodes. `capnp-rpc`, which carries the other questions, spends 23 in a
-//! hundred of a busy guard's processor time on promises and on three messages for each call (profile of a guard with
-//! some thousand calls a second). Here a call is one message each way, and one more only if it is given up.
+//! Calls make up nearly all of the traffic between nodes. `capnp-rpc`, which carries the other requests, spends 23 % of
+//! a busy guard's processor time on promises and on three messages per call (profile of a guard with some thousand
+//! calls per second). Here a call is one message each way, and one more only if it is cancelled.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,7 +22,7 @@
 };
 use crate::journal::LOG_TARGET;
 
-/// A connection to another node for calls; cheap to clone, and closed with its last clone.
+/// A connection to another node for calls; cheap to clone, and closed when the last clone is dropped.
 #[derive(Clone)]
 pub struct CallLink {
     state: Rc<LinkState>,
@@ -31,13 +31,13 @@
 struct LinkState {
     writer: LinkWriter,
     next_number: Cell<u32>,
-    /// Calls without a reply, by their number; `None` once the connection has ended.
+    /// Calls without a reply, by call number; `None` once the connection has ended.
     pending: RefCell<Option<IndexMap<u32, oneshot::Sender<CallReply>>>>,
 }
 
 impl CallLink {
-    /// Begins the protocol on a connection that has just been opened; `registration` is dropped when it ends. Call it within a
-    /// `LocalSet`.
+    /// Starts the call protocol on a newly opened connection; `registration` is dropped when the connection ends. Must
+    /// be called within a `LocalSet`.
     pub fn open(stream: TcpStream, registration: impl Sized + 'static) -> Self {
         let (reader, writer) = link_stream(stream);
         writer.send(&CALLS_PREFACE);
@@ -48,19 +48,19 @@
             dispatch_replies(reader, &weak).await;
             drop(registration);
             if let Some(state) = weak.upgrade() {
-                // Whoever waits for a reply hears that there is none.
+                // Dropping the senders fails the calls that still wait for a reply.
                 state.pending.take();
             }
         });
         Self { state }
     }
 
-    /// Sends a call and waits for its reply. Dropping the future gives the call up, at the other node as well.
+    /// Sends a call and waits for its reply. Dropping the future cancels the call, at the other node as well.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Unreachable`] if the connection had ended before, [`LinkError::Ended`] if it ends first: then the call
-    /// may have run.
+    /// [`LinkError::Unreachable`] if the connection had already ended; [`LinkError::Ended`] if it ends before the reply
+    /// arrives, in which case the call may have run.
     pub async fn call(&self, call: &CallRequest) -> Result<CallReply, LinkError> {
         let number = self.state.next_number.get();
         self.state.next_number.set((number + 1) & MAX_CALL_NUMBER);
@@ -77,7 +77,7 @@
     }
 }
 
-/// A call under way; dropped before its reply, the other node is told that it is given up.
+/// A call in flight; sends a cancel frame to the other node if it is dropped before the reply arrives.
 struct PendingCall<'a> {
     state: &'a LinkState,
     number: u32,
@@ -93,19 +93,19 @@
 }
 
 impl LinkState {
-    /// Takes a call out of those without a reply; `None` if it has one.
+    /// Removes a call from those without a reply; returns `None` if it is not among them.
     fn remove_pending(&self, number: u32) -> Option<oneshot::Sender<CallReply>> {
         self.pending.borrow_mut().as_mut()?.swap_remove(&number)
     }
 }
 
-/// Hands out replies until the connection ends.
+/// Delivers replies to their callers until the connection ends.
 async fn dispatch_replies(mut reader: LinkReader, state: &Weak<LinkState>) {
     loop {
         match read_frame(&mut reader).await {
             Ok(Some(CallFrame::Reply(number, reply))) => {
                 let Some(state) = state.upgrade() else { return };
-                // A call that was given up meanwhile needs no reply.
+                // A reply to a call that has been cancelled is dropped.
                 if let Some(sender) = state.remove_pending(number) {
                     let _ = sender.send(*reply);
                 }
--- a/crates/coltsfoot-node/src/dispatch/links/call_service.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/call_service.rs
@@ -1,4 +1,4 @@
-//! Serving the calls of another node on its connection.
+//! Serves the calls that another node sends on a call connection.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -13,10 +13,10 @@
 };
 use crate::journal::LOG_TARGET;
 
-/// Calls under way on one connection, by their number.
+/// Calls in flight on one connection, by call number.
 type RunningCalls = Rc<RefCell<IndexMap<u32, AbortHandle>>>;
 
-/// Serves the calls of one connection until it ends; then what is under way is given up.
+/// Serves the calls of one connection until it ends; then cancels the calls in flight.
 pub async fn serve_calls<H: CallHandler + 'static>(
     mut reader: LinkReader,
     writer: LinkWriter,
@@ -24,7 +24,7 @@
 ) {
     let writer = Rc::new(writer);
     let running = RunningCalls::default();
-    // Dropped with this future, and all calls with it.
+    // Dropped with this future, which cancels all its calls.
     let mut calls = JoinSet::new();
     loop {
         match read_frame(&mut reader).await {
@@ -59,7 +59,7 @@
     writer: Rc<LinkWriter>,
     running: RunningCalls,
 ) {
-    // Boxed: the task is small to move while it is set up.
+    // Boxed to keep the task small to move while it is set up.
     let reply = Box::pin(handler.call(*call)).await;
     running.borrow_mut().swap_remove(&number);
     writer.send(&encode_reply(number, &reply));
--- a/crates/coltsfoot-node/src/dispatch/links/case_store.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/case_store.rs
@@ -1,4 +1,5 @@
-//! How cases of requests that end their upstreams outlast the nodes: their rows in the table service.
+//! Stores cases of requests that crash their upstreams as rows in the table service, so that they survive restarts of
+//! the nodes.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -16,39 +17,39 @@
     clock::wall_millis, dispatch::context::NodeContext, journal::LOG_TARGET, store::StoreHandle,
 };
 
-/// Time one request to the table service may take.
+/// Timeout of one request to the table service.
 const STORE_TIMEOUT: Duration = Duration::from_secs(2);
-/// First pause until the table service is asked again, doubled up to the longest.
+/// Pause before the first retry of a request to the table service; doubled for each retry up to `MAX_STORE_PAUSE`.
 const FIRST_STORE_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause until the table service is asked again.
+/// Longest pause between two attempts of a request to the table service.
 const MAX_STORE_PAUSE: Duration = Duration::from_secs(10);
-/// How long an operator waits for what was changed to be written down: several times what a write takes.
+/// Longest time that an operator's request waits for its change to be written: several times as long as a write takes.
 const MAX_WRITE_WAIT: Duration = Duration::from_secs(1);
 
-/// The rows of cases, as far as they are this node's to write.
+/// Reads the rows of all cases, and writes those of the cases that this node is responsible for.
 pub(super) struct CaseStore {
     context: Rc<NodeContext>,
     store: StoreHandle,
-    /// Cases to write down, the one that has waited longest first.
+    /// Cases waiting to be written, oldest first.
     unwritten: RefCell<IndexMap<RequestFingerprint, CaseTerm>>,
     unwritten_changed: Notify,
     written: Notify,
 }
 
 impl CaseStore {
-    /// Nothing to write yet.
+    /// Creates a case store with no cases to write.
     pub(super) fn new(context: Rc<NodeContext>, store: StoreHandle) -> Self {
         let unwritten = RefCell::default();
         Self { context, store, unwritten, unwritten_changed: Notify::new(), written: Notify::new() }
     }
 
-    /// The case is to be written down.
+    /// Queues the case for writing to the table service.
     pub(super) fn queue_write(&self, fingerprint: RequestFingerprint, term: CaseTerm) {
         self.unwritten.borrow_mut().insert(fingerprint, term);
         self.unwritten_changed.notify_one();
     }
 
-    /// Waits until nothing of the case is left to write down, up to a bound; returns whether that is so.
+    /// Waits until no write of the case is pending, for at most `MAX_WRITE_WAIT`; returns whether none is.
     pub(super) async fn await_written(&self, fingerprint: RequestFingerprint) -> bool {
         let written = async {
             loop {
@@ -62,7 +63,7 @@
         timeout(MAX_WRITE_WAIT, written).await.is_ok()
     }
 
-    /// Writes cases down as they come.
+    /// Writes queued cases to the table service as they arrive; never returns.
     pub(super) async fn write_cases(&self) {
         let mut pause = FIRST_STORE_PAUSE;
         loop {
@@ -77,7 +78,7 @@
                 TableReply::Unavailable | TableReply::Uncertain => {
                     pause = self.await_store(pause).await;
                 }
-                // A row that stands is another node's, of the same case.
+                // A conflicting row was written by another node for the same case.
                 TableReply::Committed | TableReply::Conflict(_) | TableReply::Rows(_) => {
                     self.note_written(fingerprint, term);
                     pause = FIRST_STORE_PAUSE;
@@ -94,7 +95,7 @@
         self.written.notify_waiters();
     }
 
-    /// The cases that stand in the table service; asks until it answers.
+    /// Reads all cases from the table service, retrying until it answers.
     pub(super) async fn read_cases(&self) -> Vec<CaseNote> {
         let mut pause = FIRST_STORE_PAUSE;
         loop {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Asks for the one trial of a case.
+    /// Claims the single trial of a case.
     pub(super) async fn claim_trial(
         &self,
         fingerprint: RequestFingerprint,
@@ -124,7 +125,7 @@
         TrialClaim::of(&self.request(trial_claim(fingerprint, term)).await)
     }
 
-    /// Waits for about `pause` until the table service may be asked again; returns the next pause.
+    /// Waits for about `pause` before the next request to the table service; returns the pause after that.
     async fn await_store(&self, pause: Duration) -> Duration {
         sleep(self.context.jittered(pause)).await;
         (pause * 2).min(MAX_STORE_PAUSE)
--- a/crates/coltsfoot-node/src/dispatch/links/config_pull.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/config_pull.rs
@@ -1,4 +1,4 @@
-//! Asking a peer for changes of the configuration.
+//! Requests configuration changes from a peer.
 
 use std::time::Duration;
 
@@ -11,10 +11,11 @@
     metrics::ControlKind,
 };
 
-/// Longest wait for a peer's configuration: others have the same.
+/// Timeout for connecting to a peer, and for its reply. It can be short because other peers have the same
+/// configuration.
 const PULL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks `peer` for what changed since revision `since`; `None` if it does not answer in time.
+/// Requests the changes since revision `since` from `peer`; returns `None` if the request fails or times out.
 pub async fn pull_config(
     context: &NodeContext,
     links: &PeerLinks,
@@ -24,7 +25,7 @@
     let link = timeout(PULL_TIMEOUT, links.get(peer)).await.ok()?.ok()?;
     let delta = timeout(PULL_TIMEOUT, pull_delta(context, &link, since)).await.ok().flatten();
     if delta.is_none() {
-        // It has ended, or gone silent: the next question opens another.
+        // The connection has ended or the peer does not respond; the next request opens a new connection.
         links.failed(peer, &link);
     }
     delta
--- a/crates/coltsfoot-node/src/dispatch/links/credit_owner.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/credit_owner.rs
@@ -1,4 +1,4 @@
-//! The credit of the teams that this node owns.
+//! Grants the credit of the teams that this node owns.
 
 use std::{cell::RefCell, collections::VecDeque, rc::Rc};
 
@@ -13,31 +13,31 @@
 
 use crate::dispatch::context::NodeContext;
 
-/// Members of a service that stay, in order.
+/// Alive members of a service, sorted.
 type PresentNodes = Vec<NodeId>;
 
-/// A question of a node for the credit of a team.
+/// A node's request for credit of a team.
 #[derive(Clone, Copy, Debug)]
 pub struct CreditDemand {
-    /// Requests to take in.
+    /// Number of requests to admit.
     pub wanted: u32,
-    /// Requests that were taken in unasked since the requester was last answered.
+    /// Number of requests admitted without credit since the last reply to the requester.
     pub used: u32,
 }
 
-/// The credit of the teams that this node owns, and who owns that of the others.
+/// Grants the credit of the teams that this node owns, and knows which nodes own the credit of other teams.
 pub struct CreditOwner {
     context: Rc<NodeContext>,
     ledger: RefCell<CreditLedger>,
-    /// Members of each watched service.
+    /// Alive members of each watched service.
     present: RefCell<IndexMap<ServiceName, PresentNodes>>,
-    /// What the members of the own service were of late, and until when; oldest first.
+    /// Recent member lists that included this node, each with the time until which it was valid; oldest first.
     past: RefCell<VecDeque<(MonotonicTime, PresentNodes)>>,
     started: MonotonicTime,
 }
 
 impl CreditOwner {
-    /// The owner of a node that has just started.
+    /// Creates a credit owner for a node that has just started.
     pub fn new(context: Rc<NodeContext>) -> Self {
         let started = context.now();
         Self {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The members of a watched service, or of the own one.
+    /// Updates the members of a watched service, or of this node's own service.
     pub fn note_members(&self, service: &ServiceName, members: &[MemberRecord]) {
         let present = members.iter().filter(|member| member.state == MemberState::Alive);
         let mut present: PresentNodes = present.map(|member| member.node).collect();
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Gives out credit of `team`; `None` if another node owns it.
+    /// Grants credit of `team`; returns `None` if this node does not own it or knows no rate limit of the team.
     pub fn grant(
         &self,
         requester: NodeId,
@@ -81,17 +81,17 @@
         Some(self.ledger.borrow_mut().grant(self.context.now(), request, is_sole))
     }
 
-    /// The member of `service` that owns the credit of `team`, as far as this node knows.
+    /// Returns the member of `service` that owns the credit of `team` according to this node's member list.
     pub fn owner_in(&self, service: &ServiceName, team: &TeamName) -> Option<NodeId> {
         first_owner(team, self.present.borrow().get(service)?.iter().copied())
     }
 
-    /// Forgets credit that nobody asks for.
+    /// Removes credit that no node requests any more.
     pub fn prune(&self) {
         self.ledger.borrow_mut().prune(self.context.now());
     }
 
-    /// Whether no other node can have owned the credit of `team` of late.
+    /// Whether no other node can have owned the credit of `team` within the last [`SETTLING_TIME`].
     fn is_sole(&self, team: &TeamName) -> bool {
         let now = self.context.now();
         let is_recent = |time: &MonotonicTime| now.since(*time) < SETTLING_TIME;
--- a/crates/coltsfoot-node/src/dispatch/links/introduced_upstream.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/introduced_upstream.rs
@@ -1,12 +1,12 @@
-//! The upstream that the node's rows speak of.
+//! Description of the upstream that the node's own rows advertise.
 
 use coltsfootroute::{membership::InstanceIncarnation, name::ServiceName};
 
-/// The upstream that the node's rows speak of.
+/// The upstream that the node's own rows advertise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IntroducedUpstream {
-    /// Its service.
+    /// Service of the upstream.
     pub service: ServiceName,
-    /// Its life, if it names itself.
+    /// Incarnation of the upstream, if it has a name.
     pub instance: Option<InstanceIncarnation>,
 }
--- a/crates/coltsfoot-node/src/dispatch/links/introduction_service.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/introduction_service.rs
@@ -1,5 +1,5 @@
-//! The node's rows in the table service: the one by which newcomers find it, and the one by which it finds
-//! its upstream again after a restart. Best effort, and never waited for by a call.
+//! Maintains the node's rows in the table service: the row by which new nodes find it, and the row by which it finds
+//! its upstream again after a restart. Best effort; calls never wait for it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,47 +24,50 @@
 };
 use crate::dispatch::context::NodeContext;
 
-/// Pause before a row that could not be written is written again; jittered.
+/// Pause before a failed write of a row is retried; jittered.
 const WRITE_PAUSE: Duration = Duration::from_secs(30);
-/// The same of a row that tells of a leave: its upstream waits for the acknowledgement, and repeats itself every second or
-/// two. Few upstreams leave at the same moment, so that a store that comes back is not flooded.
+/// Pause before a failed write of a row that records a leave is retried; jittered. It is short because the upstream
+/// waits for the acknowledgement and repeats its message every second or two. Few upstreams leave at the same time, so
+/// these retries do not overload a store that has just recovered.
 const DEPARTED_WRITE_PAUSE: Duration = Duration::from_millis(500);
-/// How long a leave waits for its row: together with a slow heartbeat within the second after which an upstream counts
-/// it as not acknowledged.
+/// Longest time that a leave waits for its row. Together with a slow heartbeat it stays within the second after which
+/// an upstream counts the leave as not acknowledged.
 const MAX_SETTLE_WAIT: Duration = Duration::from_millis(800);
-/// How long a heartbeat waits for what the life before this one has written: within the same second.
+/// Longest time that a heartbeat waits for the row of the node's previous incarnation; within the same second.
 const MAX_PREVIOUS_ROW_WAIT: Duration = Duration::from_millis(700);
-/// Pause before that is read again; jittered.
+/// Pause before a failed read of that row is retried; jittered.
 const PREVIOUS_ROW_READ_PAUSE: Duration = Duration::from_millis(250);
 
-/// Start of the keys of the rows by which nodes find their upstreams.
+/// Key prefix of the rows by which nodes find their upstreams again.
 const UPSTREAM_PREFIX: &str = "upstream/";
 
-/// The node's own rows.
+/// Maintains the node's own rows.
 pub struct IntroductionService {
     context: Rc<NodeContext>,
     store: IntroductionStore,
     row: UpstreamRowWriter,
-    /// Whether the upstream is found again after a restart: it refuses calls that are meant for another life of it.
+    /// Whether the node finds its upstream again after a restart. Requires that the upstream refuses calls that are
+    /// meant for another of its incarnations.
     resumes: bool,
-    /// What the upstream that the rows shall speak of says of itself.
+    /// Latest announcement of the upstream that the rows are to advertise.
     announcement: RefCell<Option<UpstreamAnnouncement>>,
-    /// What the rows shall tell.
+    /// Content that the rows are to have.
     wanted: RefCell<OwnRows>,
-    /// What they tell for certain; `None` while that is open.
+    /// Content that the rows are known to have; `None` while it is unknown.
     written: RefCell<Option<OwnRows>>,
-    /// Services under which others may find the node.
+    /// Services under which other nodes may find this node.
     introduced_as: RefCell<IndexSet<ServiceName>>,
-    /// Whether what the life before this one has written is known, or past finding out.
+    /// Period within which a leave recorded by the node's previous incarnation still matters, unless it has been read.
     resume: Cell<ResumeWindow>,
     resumed: Notify,
     wanted_changed: Notify,
-    /// Woken after each attempt to write, whatever came of it.
+    /// Notified after each attempt to write, whether it succeeded or not.
     written_changed: Notify,
 }
 
 impl IntroductionService {
-    /// No rows yet; `resumes` says whether the upstream refuses calls that are meant for another life of it.
+    /// Creates a service with no rows; `resumes` says whether the upstream refuses calls that are meant for another of
+    /// its incarnations.
     pub fn new(context: Rc<NodeContext>, store: IntroductionStore, resumes: bool) -> Self {
         let mut resume = ResumeWindow::new(context.now());
         if !resumes {
@@ -87,7 +90,7 @@
         }
     }
 
-    /// The rows shall speak of the upstream that announced itself so.
+    /// Makes the rows advertise the announced upstream.
     pub fn set_upstream(&self, announcement: &UpstreamAnnouncement) {
         let upstream = IntroducedUpstream {
             service: announcement.service.clone(),
@@ -97,13 +100,13 @@
         self.set_wanted(OwnRows::Serving(upstream));
     }
 
-    /// The rows shall be gone.
+    /// Requests the removal of the rows.
     pub fn retract(&self) {
         self.set_wanted(OwnRows::Nothing);
     }
 
-    /// The upstream has said itself that it leaves: the rows shall tell of that. Returns whether they do, so that no later
-    /// life of this node takes the upstream up again; waits for that up to a bound.
+    /// Records in the rows that the upstream has announced its leave, and waits for at most `MAX_SETTLE_WAIT` until
+    /// they are written. Returns whether they are; then no later incarnation of this node resumes the upstream.
     pub async fn depart(&self, instance: InstanceIncarnation) -> bool {
         if !self.resumes {
             self.retract();
@@ -124,11 +127,11 @@
         self.written.borrow().as_ref() == Some(&*self.wanted.borrow())
     }
 
-    /// Waits until it is known what the life before this one has written, up to a bound; returns whether it is, or no
-    /// leave that it may have acknowledged matters any more.
+    /// Waits for at most `MAX_PREVIOUS_ROW_WAIT` until the row of the node's previous incarnation has been read.
+    /// Returns whether it has, or a leave that the previous incarnation acknowledged can no longer matter.
     pub async fn await_previous_row(&self) -> bool {
         if self.is_awaiting_previous_row() {
-            // Past the bound the store is down or slow.
+            // A timeout means that the store is down or slow.
             let _ = timeout(MAX_PREVIOUS_ROW_WAIT, self.resumed.notified()).await;
         }
         !self.is_awaiting_previous_row()
@@ -138,7 +141,7 @@
         self.resume.get().is_open(self.context.now())
     }
 
-    /// What the life before this one has written is known.
+    /// Notes that the row of the node's previous incarnation has been read.
     pub fn note_previous_row_read(&self) {
         let mut resume = self.resume.get();
         resume.note_leaves_read();
@@ -146,7 +149,7 @@
         self.resumed.notify_waiters();
     }
 
-    /// Waits until the node's own row has been written, or has been tried to be.
+    /// Waits until the node has attempted to write its own row.
     pub async fn await_introduced(&self) {
         loop {
             let changed = self.written_changed.notified();
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Waits until the rows stand as wanted, up to a bound; returns whether they do.
+    /// Waits for at most `MAX_SETTLE_WAIT` until the rows have the wanted content; returns whether they do.
     pub async fn settle(&self) -> bool {
         let settled = async {
             while !self.is_settled() {
@@ -167,7 +170,7 @@
         timeout(MAX_SETTLE_WAIT, settled).await.is_ok()
     }
 
-    /// Keeps the node's own rows as wanted.
+    /// Writes the node's own rows whenever the wanted content changes or a write has failed; never returns.
     pub async fn sync_rows(self: Rc<Self>) {
         loop {
             self.write_wanted().await;
@@ -180,12 +183,12 @@
                 OwnRows::Departed(_) => DEPARTED_WRITE_PAUSE,
                 OwnRows::Nothing | OwnRows::Serving(_) => WRITE_PAUSE,
             };
-            // Either of the two is a reason to write again.
+            // Write again after the pause or a change, whichever comes first.
             let _ = timeout(self.context.jittered(pause), changed).await;
         }
     }
 
-    /// Writes the rows in one transaction, if they do not stand as wanted.
+    /// Writes the rows in one transaction, unless they have the wanted content already.
     async fn write_wanted(&self) {
         if self.is_settled() {
             return;
@@ -197,7 +200,7 @@
         if committed {
             services.clear();
         }
-        // A write without an answer may stand all the same, and is removed like one that does.
+        // An unanswered write may have been committed, so its row is removed later like a committed one.
         services.extend(wanted.service().cloned());
         drop(services);
         if committed {
@@ -232,8 +235,8 @@
         }
     }
 
-    /// The row by which a restart finds the upstream again; `None` where it does not name its lives, since another one might
-    /// have its address by then.
+    /// Returns the row by which the node finds the upstream again after a restart; `None` if there is no upstream, or
+    /// it has no instance name: then another upstream might have taken over its address.
     fn upstream_row(&self, wanted: &OwnRows) -> Option<UpstreamRow> {
         match wanted {
             OwnRows::Nothing => None,
@@ -248,8 +251,8 @@
         }
     }
 
-    /// What the life before this one has written of its upstream. Reads until the store tells, and gives up once no leave
-    /// matters any more that may stand there.
+    /// Reads the row that the node's previous incarnation has written about its upstream. Retries until the store
+    /// answers; returns `None` if there is no usable row, or once a leave recorded there can no longer matter.
     pub async fn read_previous_row(&self) -> Option<UpstreamRow> {
         while self.is_awaiting_previous_row() {
             if let Ok(row) = self.row.read().await {
--- a/crates/coltsfoot-node/src/dispatch/links/introduction_store.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/introduction_store.rs
@@ -1,4 +1,4 @@
-//! Reads and writes of the rows by which nodes find one another.
+//! Reads and writes the rows by which nodes find one another.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 
 use crate::store::StoreHandle;
 
-/// Time one request to the table service may take.
+/// Timeout of one request to the table service.
 const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads and writes of the rows by which nodes find one another. Best effort, and never waited for by a call.
+/// Reads and writes the rows by which nodes find one another. Best effort; calls never wait for it.
 #[derive(Clone)]
 pub struct IntroductionStore {
     store: StoreHandle,
 }
 
 impl IntroductionStore {
-    /// Rows kept in `store`.
+    /// Creates an introduction store whose rows are kept in `store`.
     pub fn new(store: StoreHandle) -> Self {
         Self { store }
     }
@@ -35,19 +35,19 @@
         self.request(request, StoreUse::OwnRows).await
     }
 
-    /// The next part of a scan of all nodes' rows.
+    /// Reads the next part of a scan of all nodes' rows.
     pub async fn scan(&self, scan: &mut IntroductionScan) -> Vec<IntroducedNode> {
         let reply = self.request(scan.request(), StoreUse::NodeScan).await;
         let found = scan.handle_reply(&reply);
         if !found.is_empty() || !scan.is_at_start() {
             return found;
         }
-        // Started behind the last row.
+        // The scan started after the last row and has wrapped to the start.
         let reply = self.request(scan.request(), StoreUse::NodeScan).await;
         scan.handle_reply(&reply)
     }
 
-    /// Nodes whose rows say that their upstream is one of `service`.
+    /// Returns the nodes whose rows say that their upstream belongs to `service`.
     pub async fn members_of(&self, service: &ServiceName) -> Vec<IntroducedNode> {
         let mut scan = IntroductionScan::of_service(service);
         let reply = self.request(scan.request(), StoreUse::MemberScan).await;
--- a/crates/coltsfoot-node/src/dispatch/links/link_stream.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/link_stream.rs
@@ -1,4 +1,4 @@
-//! The byte stream under a connection to another node: few system calls for many messages.
+//! Byte stream of a connection to another node, which batches messages to save system calls.
 
 use std::{
     cell::RefCell,
@@ -17,25 +17,25 @@
 };
 use tokio_util::compat::{Compat, TokioAsyncReadCompatExt as _};
 
-/// Bytes read at a time: some ten calls. Each connection holds so much.
+/// Size of the read buffer of each connection in bytes: about ten calls.
 const READ_BUFFER_BYTES: usize = 4 * 1024;
-/// Bytes that wait to be sent before the protocol is held back: the largest message fits several times.
+/// Number of pending bytes from which writes of the protocol are blocked; several times the largest message.
 const MAX_PENDING_BYTES: usize = 4 * 1024 * 1024;
-/// Room that an emptied buffer keeps.
+/// Capacity in bytes that an emptied buffer retains.
 const RETAINED_CAPACITY_BYTES: usize = 4 * 1024;
 
 /// The reading side of a connection.
 pub type LinkReader = BufReader<Compat<OwnedReadHalf>>;
 
-/// What waits to be sent on a connection.
+/// Bytes waiting to be sent on a connection.
 #[derive(Default)]
 struct PendingBytes {
     bytes: Vec<u8>,
-    /// Whether nothing more will come.
+    /// Whether the writing side is closed.
     is_closed: bool,
-    /// Why nothing can be sent any more.
+    /// Error with which the connection failed, if it did.
     failure: Option<io::ErrorKind>,
-    /// The protocol, held back until there is room.
+    /// Waker of the protocol while its write is blocked.
     blocked_writer: Option<Waker>,
 }
 
@@ -45,19 +45,19 @@
     changed: Notify,
 }
 
-/// The writing side of a connection. What is written while the same events are worked on goes out in one system
-/// call: by itself a message of capnp-rpc takes two or three, and a frame takes one.
+/// The writing side of a connection. Bytes written while the same batch of events is processed are sent in one system
+/// call. Without batching, a capnp-rpc message takes two or three system calls, and a frame takes one.
 pub struct LinkWriter {
     queue: Rc<SendQueue>,
 }
 
-/// Splits a connection to another node into its sides. Call it within a `LocalSet`.
+/// Splits a connection to another node into its reading and writing sides. Must be called within a `LocalSet`.
 pub fn link_stream(stream: TcpStream) -> (LinkReader, LinkWriter) {
     let (reader, writer) = stream.into_split();
     (BufReader::with_capacity(READ_BUFFER_BYTES, reader.compat()), LinkWriter::new(writer))
 }
 
-/// Sends what is written until the writing side is closed or the connection fails.
+/// Sends pending bytes until the writing side is closed or the connection fails.
 async fn send_pending(mut writer: impl tokio::io::AsyncWrite + Unpin, queue: Rc<SendQueue>) {
     let mut bytes = Vec::new();
     loop {
@@ -66,7 +66,7 @@
                 return;
             }
             queue.changed.notified().await;
-            // Whoever else has something to say by now says it first.
+            // Lets other tasks that are ready now add their bytes first.
             yield_now().await;
         }
         queue.take_pending(&mut bytes);
@@ -80,7 +80,7 @@
 }
 
 impl SendQueue {
-    /// Moves what waits into `bytes`, which is empty, and lets the protocol go on.
+    /// Moves the pending bytes into `bytes`, which must be empty, and wakes a blocked write.
     fn take_pending(&self, bytes: &mut Vec<u8>) {
         let mut pending = self.pending.borrow_mut();
         std::mem::swap(&mut pending.bytes, bytes);
@@ -105,15 +105,16 @@
 }
 
 impl LinkWriter {
-    /// A writing side whose bytes go to `writer`, by a task of the current `LocalSet`. What was written before it is
-    /// dropped is still sent.
+    /// Creates a writing side whose bytes a task of the current `LocalSet` sends to `writer`. Bytes written before it
+    /// is dropped are still sent.
     pub fn new(writer: impl tokio::io::AsyncWrite + Unpin + 'static) -> Self {
         let queue = Rc::<SendQueue>::default();
         spawn_local(send_pending(writer, queue.clone()));
         Self { queue }
     }
 
-    /// Has `bytes` sent, however many wait already. A connection that has failed sends nothing: its reading side ends.
+    /// Queues `bytes` for sending, however many are pending. Does nothing if the connection has failed; its reading
+    /// side ends then.
     pub fn send(&self, bytes: &[u8]) {
         let mut pending = self.queue.pending.borrow_mut();
         if pending.failure.is_none() {
@@ -141,7 +142,7 @@
         Poll::Ready(Ok(bytes.len()))
     }
 
-    /// Has the bytes sent, without waiting for it.
+    /// Starts sending the pending bytes without waiting until they are sent.
     fn poll_flush(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let pending = self.queue.pending.borrow();
         if let Some(kind) = pending.failure {
--- a/crates/coltsfoot-node/src/dispatch/links/link_table.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/link_table.rs
@@ -1,4 +1,4 @@
-//! Connections by node, opened on first use.
+//! Table of connections by node, opened on first use.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,14 +20,14 @@
 
 type LinkSlots<L> = Rc<RefCell<IndexMap<NodeId, LinkSlot<L>>>>;
 
-/// Connections by node, one a node, opened on first use.
+/// Connections by node, one per node, opened on first use.
 pub(super) struct LinkTable<L> {
     slots: LinkSlots<L>,
     next_serial: Cell<u64>,
 }
 
-/// The registration of one connection in its table. Dropped, the table forgets the connection: a call sent over it later
-/// would be lost with an unknown outcome.
+/// The registration of one connection in its table. Dropping it removes the connection from the table: a call sent over
+/// it later would be lost with an unknown outcome.
 pub(super) struct LinkRegistration<L> {
     slots: LinkSlots<L>,
     node: NodeId,
@@ -35,7 +35,7 @@
 }
 
 impl<L> LinkRegistration<L> {
-    /// The number of the connection, never used again for another one.
+    /// Returns the serial number of the connection, which is never reused.
     pub(super) fn serial(&self) -> u64 {
         self.serial
     }
@@ -48,16 +48,16 @@
 }
 
 impl<L: Clone> LinkTable<L> {
-    /// No connections yet.
+    /// Creates an empty table.
     pub(super) fn new() -> Self {
         Self { slots: Rc::default(), next_serial: Cell::new(0) }
     }
 
-    /// The connection to `node`; concurrent callers share one attempt to `open` it.
+    /// Returns the connection to `node`; concurrent callers share one attempt to `open` it.
     ///
     /// # Errors
     ///
-    /// What `open` fails with.
+    /// Returns the error of `open`.
     pub(super) async fn get(
         &self,
         now: MonotonicTime,
@@ -84,17 +84,17 @@
         (slot.link.clone(), slot.serial)
     }
 
-    /// Forgets a connection that failed, unless it has been replaced since.
+    /// Removes a failed connection, unless it has been replaced since.
     pub(super) fn remove_failed(&self, node: NodeId, serial: u64) {
         remove_link(&self.slots, node, serial);
     }
 
-    /// Forgets connections that have not been used since `since`. A call in flight holds a clone of its link.
+    /// Removes connections that have not been used since `since`. A call in flight holds a clone of its link.
     pub(super) fn close_unused(&self, since: MonotonicTime) {
         self.slots.borrow_mut().retain(|_, slot| slot.used > since);
     }
 
-    /// Number of connections.
+    /// Returns the number of connections.
     pub(super) fn count(&self) -> usize {
         self.slots.borrow().len()
     }
--- a/crates/coltsfoot-node/src/dispatch/links/node_finder.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/node_finder.rs
@@ -1,4 +1,4 @@
-//! How a node that has just started finds the others.
+//! Discovery of other nodes by a node that has just started.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,31 +8,31 @@
 use super::{IntroductionService, IntroductionStore};
 use crate::{dispatch::context::NodeContext, gossip::GossipCommand};
 
-/// Time that peers of the settings have to answer before the table service is asked; jittered.
+/// Time that the peers named in the settings have to answer before the table service is queried; jittered.
 const PEER_REPLY_WAIT: Duration = Duration::from_secs(1);
-/// Longest wait for the node's own row before the others' are read. Of nodes that start together the last to write
-/// reads the rows of all, so that one read a node does; before, each read some five times while nobody had written.
-/// Upstreams announce themselves within two seconds.
+/// Longest wait for the node's own row before the other nodes' rows are read. Among nodes that start together, the last
+/// one to write reads the rows of all, so one read per node is enough; without the wait each node read about five times
+/// before any row was written. Upstreams announce themselves within two seconds.
 const MAX_OWN_ROW_WAIT: Duration = Duration::from_millis(2_500);
-/// Time that the other nodes of a deployment that starts have for their own rows; jittered. Whoever reads before them
-/// misses the members of small services, and reads once more for each.
+/// Time that the other nodes have to write their own rows when the whole deployment starts; jittered. A node that reads
+/// earlier misses the members of small services, and needs one more read for each such service.
 const FIRST_START_WAIT: Duration = Duration::from_millis(1_800);
-/// First pause after a scan that has found nobody who answers; jittered. Twice as long after each.
+/// Pause after the first scan that found no node that answers; jittered, and doubled after each further scan.
 const FIRST_SCAN_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause between two scans of a node that has found nobody; jittered.
+/// Longest pause between two scans of a node that has found no other node; jittered.
 const MAX_SCAN_PAUSE: Duration = Duration::from_secs(10);
 
-/// What a node that starts knows of the others.
+/// Settings that determine how a starting node finds other nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct FinderOptions {
     /// Whether the settings name peers.
     pub has_peers: bool,
-    /// Whether the whole deployment starts with this node.
+    /// Whether the whole deployment starts together with this node.
     pub first_start: bool,
 }
 
-/// Looks for other nodes in the table service until one has answered. A node that others have found meanwhile reads
-/// once all the same, unless its settings name peers: it learns members of every service by that.
+/// Looks for other nodes in the table service until one has answered. A node that other nodes have already found still
+/// reads once, unless its settings name peers, to find members of every service.
 pub async fn discover_nodes(
     context: Rc<NodeContext>,
     introduction: Rc<IntroductionService>,
@@ -45,7 +45,7 @@
             return;
         }
     } else {
-        // Past the bound there is no upstream yet, or no store.
+        // A timeout means that there is no upstream yet, or that the store is unavailable.
         let _ = timeout(MAX_OWN_ROW_WAIT, introduction.await_introduced()).await;
     }
     if options.first_start {
@@ -70,6 +70,6 @@
 }
 
 async fn has_joined(context: &NodeContext) -> bool {
-    // Without the gossip duty the process stops: there is nothing to join.
+    // If the gossip duty has ended, the process is stopping and there is nothing to join.
     context.ask_gossip().await.is_none_or(|status| status.joined)
 }
--- a/crates/coltsfoot-node/src/dispatch/links/own_rows.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/own_rows.rs
@@ -1,23 +1,23 @@
-//! What a node's own rows tell.
+//! Content of a node's own rows.
 
 use coltsfootroute::{membership::InstanceIncarnation, name::ServiceName};
 
 use super::IntroducedUpstream;
 
-/// What a node's own rows tell.
+/// Content of a node's own rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) enum OwnRows {
-    /// Nothing.
+    /// No rows.
     #[default]
     Nothing,
-    /// The upstream is there.
+    /// The upstream is serving.
     Serving(IntroducedUpstream),
-    /// The upstream has said itself that it leaves.
+    /// The upstream has announced that it leaves.
     Departed(InstanceIncarnation),
 }
 
 impl OwnRows {
-    /// Service under which others find the node.
+    /// Returns the service under which other nodes find this node, if any.
     pub(super) fn service(&self) -> Option<&ServiceName> {
         match self {
             Self::Serving(upstream) => Some(&upstream.service),
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Whether the leave of this life, or of a later one of its name, is told.
+    /// Whether the rows record a leave of this incarnation, or of a later one with the same name.
     pub(super) fn records_leave(&self, incarnation: &InstanceIncarnation) -> bool {
-        matches!(self, Self::Departed(departed) if departed.name == incarnation.name && incarnation.started <= departed.started)
+        matches!(self, Self::Departed(left) if left.name == incarnation.name && incarnation.started <= left.started)
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/links/peer_handler.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What a node does for others that ask it.
+//! Requests of other nodes that a node handles.
 
 use std::{future::Future, rc::Rc};
 
@@ -13,33 +13,33 @@
 use super::CreditDemand;
 use crate::dispatch::context::NodeContext;
 
-/// What the node that keeps a retry account says to a request for a token.
+/// Reply of the node that holds a retry account to a request for a token.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenReply {
-    /// Whether it is granted.
+    /// Whether the token is granted.
     pub answer: TakeAnswer,
-    /// Tokens left in the account.
+    /// Number of tokens remaining in the account.
     pub remaining: u32,
 }
 
 /// Serves calls of other nodes.
 pub trait CallHandler {
-    /// Serves a call for the upstream beside the node. Dropping the future gives the call up.
+    /// Serves a call for the node's upstream. Dropping the future cancels the call.
     fn call(self: Rc<Self>, call: CallRequest) -> impl Future<Output = CallReply>;
 }
 
-/// What a node does for others that ask it.
+/// Handles all requests of other nodes.
 pub trait PeerHandler: CallHandler {
-    /// Clock, configuration, metrics and events of the node.
+    /// Returns the node's clock, configuration, metrics and events.
     fn context(&self) -> &NodeContext;
 
-    /// Takes a token from a retry account kept here.
+    /// Acquires a token from a retry account that this node holds.
     fn acquire_token(&self, request: RequestId, take_id: u64) -> TokenReply;
 
-    /// Takes in news of ended upstreams; returns all that this node knows of them if `wants_all`.
+    /// Merges a quarantine update; returns all cases and crashes known to this node if `wants_all`.
     fn receive_quarantine(&self, news: QuarantineUpdate, wants_all: bool) -> QuarantineUpdate;
 
-    /// Gives out credit of `team`; `None` if another node owns it.
+    /// Grants credit of `team`; returns `None` if this node does not own it or knows no rate limit of the team.
     fn acquire_credit(
         &self,
         requester: NodeId,
@@ -47,6 +47,6 @@
         demand: CreditDemand,
     ) -> Option<CreditGrant>;
 
-    /// What became of a claim of this life of the node.
+    /// Returns the state of a claim made by this incarnation of the node.
     fn claim_state(&self, claim: RequestId) -> ClaimState;
 }
--- a/crates/coltsfoot-node/src/dispatch/links/peer_links.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/peer_links.rs
@@ -15,26 +15,26 @@
 };
 use crate::clock::MonotonicClock;
 
-/// Time to open a connection to a node.
+/// Timeout for opening a connection to a node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A connection whose peer has not acknowledged what was sent for so many milliseconds is given up. Hosts of
-/// one region answer within some; a lost packet is sent again twice within this time.
+/// Time in milliseconds after which a connection is closed if its peer has not acknowledged sent data. Hosts of one
+/// region acknowledge within a few milliseconds; a lost packet is retransmitted twice within this time.
 const TCP_USER_TIMEOUT_MS: u32 = 1_500;
-/// A connection not used for so long is closed.
+/// Time after which an unused connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A node could not be asked, or did not answer.
+/// Error of a request to a node that could not be sent, or was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkError {
-    /// There is no connection: nothing was sent.
+    /// There is no connection; nothing was sent.
     #[error("the node cannot be reached")]
     Unreachable,
-    /// The connection ended with the call under way: it may have run.
+    /// The connection ended while the call was in flight; the call may have run.
     #[error("the connection to the node has ended")]
     Ended,
 }
 
-/// A connection to a node for questions other than calls.
+/// A connection to a node for requests other than calls.
 #[derive(Clone)]
 pub struct PeerLink {
     client: peer::Client,
@@ -42,13 +42,13 @@
 }
 
 impl PeerLink {
-    /// The remote interface.
+    /// Returns the client of the remote interface.
     pub fn client(&self) -> &peer::Client {
         &self.client
     }
 }
 
-/// Connections to other nodes, opened on first use: one a node for calls, and one for all other questions, which are
+/// Connections to other nodes, opened on first use: one per node for calls, and one for all other requests, which are
 /// few.
 pub struct PeerLinks {
     clock: MonotonicClock,
@@ -57,12 +57,12 @@
 }
 
 impl PeerLinks {
-    /// No connections yet.
+    /// Creates a `PeerLinks` without connections.
     pub fn new(clock: MonotonicClock) -> Self {
         Self { clock, requests: LinkTable::new(), calls: LinkTable::new() }
     }
 
-    /// The connection to `node` for questions other than calls.
+    /// Returns the connection to `node` for requests other than calls.
     ///
     /// # Errors
     ///
@@ -73,7 +73,7 @@
             .await
     }
 
-    /// The connection to `node` for calls.
+    /// Returns the connection to `node` for calls.
     ///
     /// # Errors
     ///
@@ -83,12 +83,12 @@
         self.calls.get(self.clock.now(), node, open).await
     }
 
-    /// Forgets a connection that failed, unless it has been replaced since.
+    /// Removes a failed connection, unless it has been replaced since.
     pub fn failed(&self, node: NodeId, link: &PeerLink) {
         self.requests.remove_failed(node, link.serial);
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes connections that have not been used for `IDLE_TIMEOUT`.
     pub fn close_idle(&self) {
         let now = self.clock.now();
         if now.since(MonotonicTime::ZERO) > IDLE_TIMEOUT {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Number of connections.
+    /// Returns the number of connections.
     pub fn count(&self) -> usize {
         self.requests.count() + self.calls.count()
     }
@@ -126,7 +126,7 @@
         .map_err(|_| LinkError::Unreachable)?
         .map_err(|_| LinkError::Unreachable)?;
     stream.set_nodelay(true).map_err(|_| LinkError::Unreachable)?;
-    // Without it a host that has gone without a word holds every call until its own deadline.
+    // Without this timeout, a host that disappears without closing the connection blocks each call until its deadline.
     set_tcp_user_timeout(&stream, TCP_USER_TIMEOUT_MS).map_err(|_| LinkError::Unreachable)?;
     Ok(stream)
 }
--- a/crates/coltsfoot-node/src/dispatch/links/peer_server.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/peer_server.rs
@@ -1,4 +1,4 @@
-//! What other nodes may ask of this one.
+//! Serves the requests of other nodes.
 
 use std::rc::Rc;
 
@@ -28,7 +28,7 @@
     metrics::ControlKind,
 };
 
-/// The interface as other nodes see it.
+/// Server of the Cap'n Proto interface that other nodes use.
 struct PeerServer<H> {
     handler: Rc<H>,
 }
@@ -129,7 +129,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => serve_peer(stream, handler.clone()),
-            // Out of descriptors: closing connections frees some, so try again a little later.
+            // Out of file descriptors: closing connections frees some, so retry after a pause.
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
@@ -139,20 +139,21 @@
 const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
 
 fn serve_peer<H: PeerHandler + 'static>(stream: TcpStream, handler: Rc<H>) {
-    // Without it answers wait for the peer's delayed acknowledgement; a failure only costs time.
+    // Without `TCP_NODELAY`, replies wait for the peer's delayed acknowledgement; a failure to set it only adds
+    // latency.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = link_stream(stream);
     tokio::task::spawn_local(serve_link(reader, writer, handler));
 }
 
-/// Serves a connection for calls, or one for other questions, by what the peer sends first.
+/// Serves a connection for calls or one for other requests, depending on the first bytes that the peer sends.
 async fn serve_link<H: PeerHandler + 'static>(
     mut reader: LinkReader,
     writer: LinkWriter,
     handler: Rc<H>,
 ) {
     let mut first = [0; FRAME_HEAD_BYTES];
-    // A peer that goes before it has said anything wants nothing.
+    // The peer closed the connection before it sent a request.
     if reader.read_exact(&mut first).await.is_err() {
         return;
     }
@@ -162,6 +163,6 @@
     let reader = Cursor::new(first).chain(reader);
     let network = VatNetwork::new(reader, writer, Side::Server, Default::default());
     let server: peer::Client = capnp_rpc::new_client(PeerServer { handler });
-    // Its end is that of the connection, whatever the cause.
+    // The RPC system ends when the connection does, whatever the cause.
     let _ = RpcSystem::new(Box::new(network), Some(server.client)).await;
 }
--- a/crates/coltsfoot-node/src/dispatch/links/quarantine_service.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/quarantine_service.rs
@@ -1,4 +1,4 @@
-//! What this node knows of requests that end their upstreams, how it tells others, and how it outlasts them.
+//! Tracks requests that crash their upstreams, spreads that information to other nodes, and stores it.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -26,61 +26,65 @@
     store::StoreHandle,
 };
 
-/// Nodes told at once by the guard that has seen an end: with it each node of a small deployment hears in one step.
+/// Number of nodes that the guard that has seen a crash notifies directly; enough to reach each node of a small
+/// deployment in one step.
 const FIRST_FANOUT: usize = 16;
-/// Nodes told by each that has heard something new. Four reach 98 in 100 nodes of any number within a few steps; the
-/// others see from the digest on gossip that they lack a case.
+/// Number of nodes that a node notifies when it has received new information. Four reach 98 % of the nodes of a
+/// deployment of any size within a few steps; the others see from the digest in gossip messages that they lack a case.
 const NEXT_FANOUT: usize = 4;
-/// Ends that a node tells of or passes on in a second: at 8.4 KB each they stay within the 4 KB/s of a node's control.
+/// Number of crashes per second that a node reports or forwards: at 8.4 KB each they stay within a node's budget of
+/// 4 KB/s for control traffic.
 const CRASHES_PER_S: f64 = 0.4;
-/// Ends that it does at once. More upstreams end together when a failure domain is lost, which no request has done; one
-/// that comes a few times a second ends that many in some ten seconds, and is known after three.
+/// Maximum burst of crashes that a node reports or forwards. More upstreams crash together when a failure domain
+/// is lost, which no request has caused. A request that arrives a few times per second crashes this many upstreams in
+/// about ten seconds, and is identified after three crashes.
 const CRASHES_BURST: f64 = 32.0;
-/// Longest wait for a node that is told or asked.
+/// Timeout of an exchange with another node.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Requests that this node has suspected itself and whose cases it writes down.
+/// Maximum number of requests suspected by this node itself whose cases it writes to the table service.
 const MAX_OWN_SUSPECTS: usize = 1_024;
 
-/// What is held against a call.
+/// How a call that the quarantine holds back is treated.
 #[derive(Clone, Copy, Debug)]
 pub enum HeldCall {
-    /// It is not sent on; its caller may ask again after this time.
+    /// The call is not forwarded; its caller may retry after this time.
     Held(Duration),
-    /// The same, but for the one trial, which has to be claimed first.
+    /// The call is not forwarded unless this node claims the single trial of the request first.
     TrialDue(RequestFingerprint),
 }
 
-/// What became of an operator's word that a request is let go.
+/// Result of an operator's command to release a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseResult {
-    /// It was not held back.
+    /// The request was not held back.
     NotHeld,
-    /// It is let go, and stays so whatever becomes of the nodes.
+    /// The request is released, and the release is stored, so it survives restarts of the nodes.
     Stored,
-    /// It is let go here and told to others, and not written down yet: if all nodes start anew before the table service
-    /// answers it is held back again.
+    /// The request is released here and other nodes are notified, but the release is not stored yet: if all nodes
+    /// restart before the table service answers, the request is held back again.
     NotStored,
 }
 
-/// What this node knows of requests that end their upstreams, how it tells others, and how it outlasts them.
+/// Tracks requests that crash their upstreams, spreads that information to other nodes, and stores it.
 ///
-/// Ends of upstreams and cases go from node to node; cases also stand in the table service, so that nodes that all start
-/// anew still know them.
+/// Crashes of upstreams and cases are forwarded from node to node; cases are also stored in the table service, so that
+/// they survive a restart of all nodes.
 pub struct QuarantineService {
     context: Rc<NodeContext>,
     links: Rc<PeerLinks>,
     case_store: CaseStore,
     register: RefCell<QuarantineRegister>,
-    /// Present members of the services that this node watches.
+    /// Alive or suspect members of the services that this node watches, without this node.
     peers: RefCell<IndexMap<ServiceName, Vec<NodeId>>>,
-    /// What this node's own upstream has ended with, the newest. Invariant: at most [`MAX_OWN_SUSPECTS`].
+    /// Requests that were in flight when this node's upstream crashed, and requests released here; oldest first.
+    /// Invariant: at most [`MAX_OWN_SUSPECTS`].
     own_suspects: RefCell<IndexSet<RequestFingerprint>>,
-    /// Ends that may be told of now.
+    /// Limits how many crashes are reported or forwarded.
     crash_budget: RefCell<TokenBucket>,
 }
 
 impl QuarantineService {
-    /// Nothing known yet.
+    /// Creates a service without crashes or cases.
     pub fn new(context: Rc<NodeContext>, links: Rc<PeerLinks>, store: StoreHandle) -> Self {
         let case_store = CaseStore::new(context.clone(), store);
         Self {
@@ -94,8 +98,8 @@
         }
     }
 
-    /// What is held against a call, if anything; tells the journal if it may not be sent on. `fingerprint` is asked for only
-    /// while something is held back.
+    /// Returns how a call is held back; `None` if it may be forwarded. Emits an event if the call is refused.
+    /// `fingerprint` is evaluated only while there are cases.
     pub fn judge(
         &self,
         request: RequestId,
@@ -118,10 +122,10 @@
         }
     }
 
-    /// Asks for the one trial of a request that is held back; returns whether this node makes it.
+    /// Claims the single trial of a request that is held back; returns whether this node may run it.
     pub async fn claim_trial(&self, request: RequestId, fingerprint: RequestFingerprint) -> bool {
         let term = self.register.borrow().term(fingerprint);
-        // Others that come meanwhile are held back.
+        // Other calls of this request that arrive during the claim are held back.
         self.record_trial_claim(fingerprint, TrialClaim::Unavailable);
         let claim = self.case_store.claim_trial(fingerprint, term).await;
         self.record_trial_claim(fingerprint, claim);
@@ -137,7 +141,7 @@
         self.register.borrow_mut().record_trial(now, fingerprint, claim);
     }
 
-    /// The upstream beside this node has ended with these requests under way.
+    /// Reports that this node's upstream has crashed while these requests were in flight.
     pub fn report(self: &Rc<Self>, crash: CrashId, suspects: Vec<RequestFingerprint>) {
         if suspects.is_empty() {
             return;
@@ -155,7 +159,7 @@
         self.merge_news(news, FIRST_FANOUT);
     }
 
-    /// The upstream beside this node has answered a call. `fingerprint` is asked for only while something is suspected.
+    /// Notes that this node's upstream has answered a call. `fingerprint` is evaluated only while there are suspects.
     pub fn note_answer(self: &Rc<Self>, fingerprint: impl FnOnce() -> RequestFingerprint) {
         if !self.register.borrow().has_suspects() {
             return;
@@ -172,7 +176,7 @@
         }
     }
 
-    /// An operator lets a request go. Waits up to a bound until that is written down.
+    /// Releases a request on behalf of an operator. Waits for a bounded time until the release is stored.
     pub async fn release(self: &Rc<Self>, fingerprint: RequestFingerprint) -> ReleaseResult {
         let now = self.context.now();
         if !self.register.borrow_mut().release(now, fingerprint) {
@@ -188,17 +192,17 @@
         }
     }
 
-    /// All that is known.
+    /// Returns all crashes and cases known to this node.
     pub fn all(&self) -> QuarantineUpdate {
         self.register.borrow().all(self.context.now())
     }
 
-    /// Takes in what another node tells, and passes on what is new of it.
+    /// Merges an update from another node, and forwards what is new in it.
     pub fn receive(self: &Rc<Self>, news: QuarantineUpdate) {
         self.merge_news(news, NEXT_FANOUT);
     }
 
-    /// Asks `peer` for all that it knows: what it holds back differs from what this node does.
+    /// Requests all crashes and cases from `peer`, whose cases differ from those of this node.
     pub async fn pull(self: Rc<Self>, peer: NodeId) {
         let no_news = QuarantineUpdate::default();
         let response = timeout(EXCHANGE_TIMEOUT, self.exchange(peer, &no_news, true)).await;
@@ -207,7 +211,7 @@
         }
     }
 
-    /// The members of a watched service.
+    /// Updates the members of a watched service.
     pub fn note_members(&self, service: &ServiceName, members: &[MemberRecord]) {
         let own = self.context.identity.node;
         let present = members.iter().filter(|member| {
@@ -217,7 +221,7 @@
         self.peers.borrow_mut().insert(service.clone(), nodes);
     }
 
-    /// Reads the cases that stand in the table service, then writes down those of this node as they come.
+    /// Reads the cases stored in the table service, then writes those of this node as they arrive; never returns.
     pub async fn sync_cases(self: Rc<Self>) {
         let cases = self.case_store.read_cases().await;
         self.receive(QuarantineUpdate { cases, ..QuarantineUpdate::default() });
@@ -231,7 +235,8 @@
         self.send_news(fresh, fanout);
     }
 
-    /// Tells the journal, the metrics and the gossip duty of cases that changed, and notes those to write down.
+    /// Publishes changed cases to the event journal, the metrics and the gossip duty, and queues this node's own for
+    /// writing.
     fn publish_changes(self: &Rc<Self>) {
         let changes = self.register.borrow_mut().drain_changes();
         if changes.is_empty() {
@@ -275,7 +280,7 @@
         for peer in recipients {
             let (service, news) = (self.clone(), news.clone());
             tokio::task::spawn_local(async move {
-                // One that can't be told hears from others, or sees by their digest that it lacks something.
+                // A node that cannot be reached is notified by others, or sees from their digest that it lacks a case.
                 let _ = timeout(EXCHANGE_TIMEOUT, service.exchange(peer, &news, false)).await;
             });
         }
--- a/crates/coltsfoot-node/src/dispatch/links/upstream_announcement.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/upstream_announcement.rs
@@ -1,4 +1,4 @@
-//! What the upstream beside the node says of itself.
+//! Announcement by which an upstream registers with its node.
 
 use std::net::SocketAddr;
 
@@ -7,28 +7,28 @@
     name::ServiceName,
 };
 
-/// What the upstream beside the node says of itself in `PUT /upstream`.
+/// Announcement that the node's upstream sends in `PUT /upstream`.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamAnnouncement {
-    /// Service that the upstream is one of.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
-    /// Its name, if it has one; calls then run on no other one.
+    /// Instance name of the upstream, if it has one; calls then run on no other instance.
     #[serde(default)]
     pub instance: Option<InstanceName>,
-    /// When it started, if it says so.
+    /// Start time of the upstream, if it is given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<StartTime>,
-    /// Where it takes calls.
+    /// Address at which the upstream accepts calls.
     pub address: SocketAddr,
-    /// Calls it can work on at once; at least 1.
+    /// Number of calls that the upstream can process concurrently; at least 1.
     pub slots: u32,
-    /// Connections it takes; at least 1.
+    /// Number of connections that the upstream accepts; at least 1.
     pub connections: u32,
 }
 
 impl UpstreamAnnouncement {
-    /// The life that announces itself, if it has a name.
+    /// Returns the incarnation of the upstream, if it has a name.
     pub fn life(&self) -> Option<InstanceIncarnation> {
         let name = self.instance.clone()?;
         Some(InstanceIncarnation::new(name).with_started(self.born))
--- a/crates/coltsfoot-node/src/dispatch/links/upstream_row.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/upstream_row.rs
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(untagged)]
 pub enum UpstreamRow {
-    /// The upstream is there.
+    /// The upstream is serving.
     Serving(UpstreamAnnouncement),
-    /// The upstream has left: a late heartbeat of it changes nothing, whichever life of the node it reaches.
+    /// The upstream has left; a delayed heartbeat of it has no effect, whichever incarnation of the node receives it.
     Departed {
-        /// Name of the upstream that has left.
+        /// Instance name of the upstream that has left.
         departed: InstanceName,
-        /// When the life that has left began, if it said so.
+        /// Start time of the incarnation that has left, if it was given.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         born: Option<StartTime>,
     },
--- a/crates/coltsfoot-node/src/dispatch/links/upstream_row_writer.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/upstream_row_writer.rs
@@ -1,4 +1,4 @@
-//! Reads and writes of the row by which a node finds its upstream again after a restart.
+//! Reads and writes the row by which a node finds its upstream again after a restart.
 
 use std::cell::Cell;
 
@@ -7,24 +7,28 @@
 use super::{IntroductionStore, UpstreamRow};
 use crate::journal::LOG_TARGET;
 
-/// Reads and writes of the row by which a node finds its upstream again after a restart.
+/// Reads and writes the row by which a node finds its upstream again after a restart.
 ///
-/// The row is written only over the version that was last read. A write without an answer may be carried out seconds
-/// later; its condition has failed by then if a later write stands, so that it never undoes a leave.
+/// The row is written only over the version that was last read. An unanswered write may be executed seconds later; if a
+/// later write has been committed by then, its condition fails, so it never undoes a leave.
 pub(super) struct UpstreamRowWriter {
     store: IntroductionStore,
     key: RowKey,
-    /// What the next write finds; `None` until it is read, and again after each write.
+    /// Condition of the next write; `None` until the row has been read, and again after each write.
     expected: Cell<Option<RowCondition>>,
 }
 
 impl UpstreamRowWriter {
-    /// Nothing has been read yet of the row `key`.
+    /// Creates a writer for the row `key`, which has not been read yet.
     pub(super) fn new(store: IntroductionStore, key: RowKey) -> Self {
         Self { store, key, expected: Cell::default() }
     }
 
-    /// What the row says: `Err` where the store has not told, `Ok(None)` where there is none that can be used.
+    /// Reads the row; returns `Ok(None)` if there is no usable row.
+    ///
+    /// # Errors
+    ///
+    /// [`RowReadError`] if the store has not returned the row.
     pub(super) async fn read(&self) -> Result<Option<UpstreamRow>, RowReadError> {
         let read = TableRequest::Read(self.key.clone());
         let TableReply::Rows(rows) = self.store.read_own(read).await else {
@@ -47,12 +51,12 @@
         }
     }
 
-    /// Writes or removes the row together with `others`; returns whether all of it stands for certain.
+    /// Writes or removes the row together with `others`; returns whether the transaction is known to be committed.
     pub(super) async fn change(&self, row: Option<&UpstreamRow>, others: Vec<RowWrite>) -> bool {
         let had_condition = self.expected.get().is_some();
         match self.write_over(row, &others).await {
             TableReply::Committed => true,
-            // A late write of an earlier life has come in between.
+            // A delayed write of an earlier incarnation has changed the row.
             TableReply::Conflict(_) if had_condition => {
                 self.write_over(row, &others).await == TableReply::Committed
             }
@@ -60,7 +64,7 @@
         }
     }
 
-    /// Writes over what was read last, or is read now. What stands after a write is not known.
+    /// Writes over the version that was last read, or reads it first. The version after a write is not known.
     async fn write_over(&self, row: Option<&UpstreamRow>, others: &[RowWrite]) -> TableReply {
         if self.expected.get().is_none() && self.read().await.is_err() {
             return TableReply::Unavailable;
@@ -76,6 +80,6 @@
     }
 }
 
-/// The store has not told what the row says.
+/// Error of a read that the store has not answered with rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RowReadError;
