--- a/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
@@ -61,12 +61,10 @@
     /// The upstream says that it takes no new work: only its leave is passed on, and a node that has not
     /// heard of it before learns who it is.
     async fn note_leaving(&self, announcement: UpstreamAnnouncement) {
-        let is_known = self
-            .state
-            .upstream
-            .borrow()
-            .as_ref()
-            .is_some_and(|known| known.announcement.life() == announcement.life());
+        let is_known =
+            self.state.upstream.borrow().as_ref().is_some_and(|known| {
+                known.announcement.incarnation() == announcement.incarnation()
+            });
         if !is_known {
             *self.state.upstream.borrow_mut() = Some(GuardedUpstream {
                 announcement,
@@ -262,7 +260,7 @@
     }
 
     async fn resume_serving(self: &Rc<Self>, announcement: UpstreamAnnouncement) {
-        let Some(instance) = announcement.life() else { return };
+        let Some(instance) = announcement.incarnation() else { return };
         let is_first = self.state.instances.borrow_mut().restore(&instance);
         if is_first {
             self.announce_upstream(announcement).await;
--- a/crates/coltsfoot-node/src/dispatch/links/introduction_service.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/introduction_service.rs
@@ -94,7 +94,7 @@
     pub fn set_upstream(&self, announcement: &UpstreamAnnouncement) {
         let upstream = IntroducedUpstream {
             service: announcement.service.clone(),
-            instance: announcement.life(),
+            instance: announcement.incarnation(),
         };
         *self.announcement.borrow_mut() = Some(announcement.clone());
         self.set_wanted(OwnRows::Serving(upstream));
@@ -245,9 +245,10 @@
                 let named = announcement.as_ref().filter(|known| known.instance.is_some())?;
                 Some(UpstreamRow::Serving(named.clone()))
             }
-            OwnRows::Departed(life) => {
-                Some(UpstreamRow::Departed { departed: life.name.clone(), born: life.started })
-            }
+            OwnRows::Departed(incarnation) => Some(UpstreamRow::Departed {
+                departed: incarnation.name.clone(),
+                born: incarnation.started,
+            }),
         }
     }
 
--- a/crates/coltsfoot-node/src/dispatch/links/upstream_announcement.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/upstream_announcement.rs
@@ -29,7 +29,7 @@
 
 impl UpstreamAnnouncement {
     /// Returns the incarnation of the upstream, if it has a name.
-    pub fn life(&self) -> Option<InstanceIncarnation> {
+    pub fn incarnation(&self) -> Option<InstanceIncarnation> {
         let name = self.instance.clone()?;
         Some(InstanceIncarnation::new(name).with_started(self.born))
     }
