--- a/crates/coltsfoot-node/src/dispatch/ingress/member_search.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/member_search.rs
@@ -30,7 +30,7 @@
             for service in missing {
                 let found = self.introductions.members_of(&service).await;
                 let nodes = found.into_iter().map(|introduced| introduced.node).collect();
-                self.context.tell_gossip(GossipCommand::Ask(nodes)).await;
+                self.context.tell_gossip(GossipCommand::Ping(nodes)).await;
             }
         }
     }
--- a/crates/coltsfoot-node/src/dispatch/links/node_finder.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/node_finder.rs
@@ -59,7 +59,7 @@
         let nodes = found.into_iter().map(|introduced| introduced.node).collect();
         context.tell_gossip(GossipCommand::Introduce(nodes)).await;
         for of_service in sampled {
-            context.tell_gossip(GossipCommand::Ask(of_service)).await;
+            context.tell_gossip(GossipCommand::Ping(of_service)).await;
         }
         sleep(context.jittered(pause)).await;
         if has_joined(&context).await {
--- a/crates/coltsfoot-node/src/gossip/gossip_command.rs
+++ b/crates/coltsfoot-node/src/gossip/gossip_command.rs
@@ -28,7 +28,7 @@
     /// Addresses of nodes read from the table service.
     Introduce(Vec<NodeId>),
     /// Ask some of these nodes, read from the table service, for their records now.
-    Ask(Vec<NodeId>),
+    Ping(Vec<NodeId>),
     /// Report what is known.
     Status(oneshot::Sender<MembershipStatus>),
 }
--- a/crates/coltsfoot-node/src/gossip/gossip_thread.rs
+++ b/crates/coltsfoot-node/src/gossip/gossip_thread.rs
@@ -35,7 +35,7 @@
 };
 
 /// Commands that wait at most.
-const COMMAND_RING: usize = 256;
+const MAX_QUEUED_COMMANDS: usize = 256;
 /// How often the engine looks what is due.
 const TICK_PERIOD: Duration = Duration::from_millis(50);
 /// How often the members are counted.
@@ -78,8 +78,8 @@
 
 impl GossipThread {
     /// The ring to the duty.
-    pub fn ring() -> (mpsc::Sender<GossipCommand>, mpsc::Receiver<GossipCommand>) {
-        mpsc::channel(COMMAND_RING)
+    pub fn channel() -> (mpsc::Sender<GossipCommand>, mpsc::Receiver<GossipCommand>) {
+        mpsc::channel(MAX_QUEUED_COMMANDS)
     }
 
     /// Starts the thread; it ends with the process.
@@ -132,7 +132,7 @@
                     continue;
                 }
                 command = commands.recv() => match command {
-                    Some(command) => self.obey(command).await,
+                    Some(command) => self.handle_command(command).await,
                     None => return,
                 },
                 received = self.socket.recv_from(&mut buffer) => match received {
@@ -141,7 +141,7 @@
                     Err(_) => Vec::new(),
                 },
             };
-            self.carry_out(effects).await;
+            self.apply_effects(effects).await;
         }
     }
 
@@ -183,7 +183,7 @@
         }
     }
 
-    async fn obey(&mut self, command: GossipCommand) -> Vec<GossipEffect> {
+    async fn handle_command(&mut self, command: GossipCommand) -> Vec<GossipEffect> {
         let now = self.clock.now();
         match command {
             GossipCommand::Announce(offer) => self.engine.announce(now, &mut self.rng, offer),
@@ -219,7 +219,7 @@
                 self.engine.introduce(now, nodes);
                 Vec::new()
             }
-            GossipCommand::Ask(nodes) => self.engine.ping_nodes(now, &mut self.rng, nodes),
+            GossipCommand::Ping(nodes) => self.engine.ping_nodes(now, &mut self.rng, nodes),
             GossipCommand::Status(reply) => {
                 // The asker may have gone away; nothing is owed to it then.
                 let _ = reply.send(self.engine.status());
@@ -228,7 +228,7 @@
         }
     }
 
-    async fn carry_out(&mut self, effects: Vec<GossipEffect>) {
+    async fn apply_effects(&mut self, effects: Vec<GossipEffect>) {
         let mut changed = IndexSet::new();
         for effect in effects {
             match effect {
--- a/crates/coltsfoot-node/src/process/node_process.rs
+++ b/crates/coltsfoot-node/src/process/node_process.rs
@@ -89,7 +89,7 @@
 
         let (dispatch, dispatch_ring) = DispatchThread::ring();
         let (config, config_ring) = ConfigThread::ring();
-        let (gossip, gossip_ring) = GossipThread::ring();
+        let (gossip, gossip_ring) = GossipThread::channel();
         let parts = NodeParts {
             settings: &settings,
             clock: MonotonicClock::new(),
