--- a/crates/coltsfoot-node/src/gossip.rs
+++ b/crates/coltsfoot-node/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The gossip duty: one thread that owns the membership engine and its UDP socket.
+//! The gossip duty: a thread that owns the membership engine and its UDP socket.
 
 mod gossip_command;
 mod gossip_thread;
--- a/crates/coltsfoot-node/src/gossip/gossip_command.rs
+++ b/crates/coltsfoot-node/src/gossip/gossip_command.rs
@@ -1,4 +1,4 @@
-//! What the other duties ask of the gossip duty.
+//! Commands that the other duties send to the gossip duty.
 
 use coltsfootroute::{
     id::NodeId,
@@ -7,28 +7,28 @@
 };
 use tokio::sync::oneshot;
 
-/// What the other duties ask of the gossip duty.
+/// A command that another duty sends to the gossip duty.
 pub enum GossipCommand {
-    /// The upstream beside the node takes work.
+    /// Announces that the node's upstream accepts calls.
     Announce(UpstreamOffer),
-    /// The upstream beside the node takes no new work.
+    /// Announces that the node's upstream accepts no new calls.
     Leave,
-    /// Hold the members of these services, and of no others but the own one.
+    /// Watches the members of these services, and of no others except the node's own service.
     Watch(Vec<ServiceName>),
-    /// A watched service is in use.
+    /// Notes that a watched service is in use.
     Touch(ServiceName),
-    /// A call has reached a member of a watched service.
+    /// Notes that a call has reached a member of a watched service.
     Reached(ServiceName),
-    /// A call could not reach the member of a watched service that it was for.
+    /// Notes that a call could not reach its target, a member of a watched service.
     Unreached(ServiceName),
-    /// A configuration revision is in force here.
+    /// Sets the configuration revision that is in force on this node.
     SetRevision(u64),
-    /// The node holds back the requests of this digest.
+    /// Sets the digest of the requests that this node holds back.
     SetQuarantine(u64),
-    /// Addresses of nodes read from the table service.
+    /// Adds addresses of nodes that were read from the table service.
     Introduce(Vec<NodeId>),
-    /// Ask some of these nodes, read from the table service, for their records now.
+    /// Immediately pings some of these nodes, which were read from the table service, to request their records.
     Ping(Vec<NodeId>),
-    /// Report what is known.
+    /// Requests the membership status.
     Status(oneshot::Sender<MembershipStatus>),
 }
--- a/crates/coltsfoot-node/src/gossip/gossip_thread.rs
+++ b/crates/coltsfoot-node/src/gossip/gossip_thread.rs
@@ -34,26 +34,27 @@
     },
 };
 
-/// Commands that wait at most.
+/// Maximum number of commands that wait in the channel.
 const MAX_QUEUED_COMMANDS: usize = 256;
-/// How often the engine looks what is due.
+/// Period at which the engine performs due actions.
 const TICK_PERIOD: Duration = Duration::from_millis(50);
-/// How often the members are counted.
+/// Period at which the member counts in the metrics are updated.
 const COUNT_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the gossip duty is made of.
+/// Components that the gossip duty is created from.
 pub struct GossipParts {
     /// Clock of the process.
     pub clock: MonotonicClock,
     /// Settings of the engine.
     pub settings: GossipSettings,
-    /// What the node says of itself before its upstream has announced itself.
+    /// Record of the node until its upstream has announced itself.
     pub record: MemberRecord,
-    /// The dispatch duty, told of changed members.
+    /// The dispatch duty, which is notified of changed members.
     pub dispatch: DispatchHandle,
-    /// The configuration duty, told of peers that are ahead.
+    /// The configuration duty, which is notified of peers with a newer revision.
     pub config: ConfigHandle,
-    /// The newest proof that the configuration in force is the newest: told to others, and learnt from them.
+    /// The latest proof that the configuration in force is the newest; sent to other nodes, and updated from their
+    /// messages.
     pub freshness: FreshnessCell,
     /// Metrics of the node.
     pub metrics: Arc<NodeMetrics>,
@@ -77,16 +78,16 @@
 }
 
 impl GossipThread {
-    /// The ring to the duty.
+    /// Creates the channel for commands to the duty.
     pub fn channel() -> (mpsc::Sender<GossipCommand>, mpsc::Receiver<GossipCommand>) {
         mpsc::channel(MAX_QUEUED_COMMANDS)
     }
 
-    /// Starts the thread; it ends with the process.
+    /// Starts the thread, which runs until the process ends or all command senders are dropped.
     ///
     /// # Errors
     ///
-    /// If the runtime or the thread cannot be created.
+    /// Returns an error if the socket cannot be set up, or the runtime or the thread cannot be created.
     pub fn start(
         parts: GossipParts,
         socket: UdpSocket,
@@ -137,7 +138,8 @@
                 },
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((length, from)) => self.receive(&buffer[..length], NodeId(from)),
-                    // A refused datagram of ours is reported here; the engine will notice silence.
+                    // A refusal of a datagram that this node sent is reported here; the engine detects that the peer
+                    // does not respond.
                     Err(_) => Vec::new(),
                 },
             };
@@ -221,7 +223,7 @@
             }
             GossipCommand::Ping(nodes) => self.engine.ping_nodes(now, &mut self.rng, nodes),
             GossipCommand::Status(reply) => {
-                // The asker may have gone away; nothing is owed to it then.
+                // The requester may have stopped waiting; the reply is dropped then.
                 let _ = reply.send(self.engine.status());
                 Vec::new()
             }
@@ -268,7 +270,7 @@
         }
     }
 
-    /// Life of a member that something was just said of; 0 if the member was forgotten at once.
+    /// Returns the incarnation of a member that an effect refers to; 0 if the engine has already removed the member.
     fn incarnation(&self, service: &ServiceName, member: NodeId) -> Incarnation {
         let record = self.engine.record(service.as_str(), member);
         record.map_or(Incarnation(0), |record| record.incarnation)
@@ -279,7 +281,7 @@
         match encode(&GossipMessage { confirmed, ..message }) {
             Ok(datagram) => {
                 self.count_datagram(TrafficDirection::Sent, datagram.len());
-                // A datagram that cannot be sent is as good as lost, which the engine expects.
+                // The engine tolerates lost datagrams, so a failure to send one is ignored.
                 let _ = self.socket.send_to(&datagram, to.0).await;
             }
             Err(err) => log::warn!("event=gossip-unsendable error={:?}", err.to_string()),
