--- a/crates/coltsfoot-node/tests/integration/links.rs
+++ b/crates/coltsfoot-node/tests/integration/links.rs
@@ -81,7 +81,7 @@
 /// The pattern: some hundred calls a second to each of many nodes, three messages a call, each message written as its
 /// length and its content. While the same events are worked on, a link gets the messages of several calls.
 #[rstest]
-fn messages_of_one_moment_share_a_system_call() {
+fn messages_written_together_share_a_system_call() {
     run_local(async {
         let (socket, writes) = socket(false);
         let mut writer = LinkWriter::new(socket);
@@ -99,7 +99,7 @@
 }
 
 #[rstest]
-fn a_message_of_a_later_moment_is_sent_by_itself() {
+fn a_message_written_later_is_sent_separately() {
     run_local(async {
         let (socket, writes) = socket(false);
         let mut writer = LinkWriter::new(socket);
@@ -115,7 +115,7 @@
 }
 
 #[rstest]
-fn what_was_written_before_the_end_is_still_sent() {
+fn bytes_written_before_the_close_are_still_sent() {
     run_local(async {
         let (socket, writes) = socket(false);
         let mut writer = LinkWriter::new(socket);
@@ -145,7 +145,7 @@
 
 /// A peer that takes nothing must not make this node hold all that is meant for it.
 #[rstest]
-fn a_peer_that_takes_nothing_holds_the_protocol_back() {
+fn a_peer_that_reads_nothing_blocks_writes() {
     run_local(async {
         let (mut writer, _peer) = {
             let (near, far) = tokio::io::duplex(1);
@@ -171,9 +171,9 @@
 #[derive(Default)]
 struct FakeGuard {
     begun: Notify,
-    go_on: Notify,
-    given_up: Rc<Cell<u32>>,
-    was_given_up: Rc<Notify>,
+    resume: Notify,
+    cancelled: Rc<Cell<u32>>,
+    call_cancelled: Rc<Notify>,
 }
 
 /// Counts a call as given up unless it was answered.
@@ -182,8 +182,8 @@
 impl Drop for Unanswered<'_> {
     fn drop(&mut self) {
         if !self.1 {
-            self.0.given_up.set(self.0.given_up.get() + 1);
-            self.0.was_given_up.notify_one();
+            self.0.cancelled.set(self.0.cancelled.get() + 1);
+            self.0.call_cancelled.notify_one();
         }
     }
 }
@@ -193,7 +193,7 @@
         let mut unanswered = Unanswered(&self, false);
         if &call.body[..] == b"wait" {
             self.begun.notify_one();
-            self.go_on.notified().await;
+            self.resume.notified().await;
         }
         unanswered.1 = true;
         let reason = RefusalReason::Overload;
@@ -251,7 +251,7 @@
             guard.begun.notified().await;
             let first = body(link.call(&call(b"first")).await.unwrap());
             let second = body(link.call(&call(b"second")).await.unwrap());
-            guard.go_on.notify_one();
+            guard.resume.notify_one();
             (first, second)
         };
         let (slow, (first, second)) = tokio::join!(slow, quick);
@@ -265,7 +265,7 @@
 
 /// Work for a caller that has gone would take a slot from one that waits.
 #[rstest]
-fn a_call_that_is_given_up_ends_at_the_other_node() {
+fn a_cancelled_call_ends_at_the_other_node() {
     run_local(async {
         let (link, guard, _serving) = linked().await;
         let held = call(b"wait");
@@ -274,15 +274,15 @@
             _ = link.call(&held) => panic!("answered"),
             () = guard.begun.notified() => {}
         }
-        guard.was_given_up.notified().await;
+        guard.call_cancelled.notified().await;
         let next = body(link.call(&call(b"next")).await.unwrap());
 
-        assert_eq!((guard.given_up.get(), next), (1, b"next".to_vec()));
+        assert_eq!((guard.cancelled.get(), next), (1, b"next".to_vec()));
     });
 }
 
 #[rstest]
-fn calls_under_way_fail_with_their_connection_and_so_do_later_ones() {
+fn calls_in_flight_fail_with_their_connection_and_so_do_later_ones() {
     run_local(async {
         let (link, guard, serving) = linked().await;
         let held = call(b"wait");
@@ -297,12 +297,12 @@
 
         assert_eq!(waiting.unwrap_err(), LinkError::Ended, "it may have run");
         assert_eq!(later.unwrap_err(), LinkError::Unreachable, "it was not sent");
-        assert_eq!(guard.given_up.get(), 1);
+        assert_eq!(guard.cancelled.get(), 1);
     });
 }
 
 #[rstest]
-fn a_connection_that_its_caller_closes_gives_its_calls_up() {
+fn a_connection_that_its_caller_closes_cancels_its_calls() {
     run_local(async {
         let (link, guard, serving) = linked().await;
         let held = call(b"wait");
@@ -314,7 +314,7 @@
         drop(link);
         serving.await.unwrap();
 
-        assert_eq!(guard.given_up.get(), 1);
+        assert_eq!(guard.cancelled.get(), 1);
     });
 }
 
--- a/crates/coltsfoot-node/tests/integration/scenarios.rs
+++ b/crates/coltsfoot-node/tests/integration/scenarios.rs
@@ -9,7 +9,7 @@
 
 use crate::util::{
     caller::{PlannedCall, until},
-    load_loop::{LoadLoop, LoadPlan, falsehoods, kinds},
+    load_loop::{LoadLoop, LoadPlan, false_reports, kinds},
     raw_peer::send_raw,
     test_node::NodePlan,
     world::World,
@@ -282,7 +282,7 @@
         lines.retain(|line| !line.contains(" not-run "));
     }
     if case.take_flag("judge").expect("flag") {
-        let found = falsehoods(&replies, |key| world.runs_of(key));
+        let found = false_reports(&replies, |key| world.runs_of(key));
         lines.extend(if found.is_empty() { vec!["no falsehood".to_owned()] } else { found });
     }
     lines.join("\n")
--- a/crates/coltsfoot-node/tests/integration/util/claim_driver.rs
+++ b/crates/coltsfoot-node/tests/integration/util/claim_driver.rs
@@ -67,13 +67,13 @@
 
     /// Carries out errands until none is left.
     pub async fn settle(&mut self) {
-        while let Some(errand) = self.guard.next_task(NOW) {
-            self.carry_out(errand).await;
+        while let Some(task) = self.guard.next_task(NOW) {
+            self.run_task(task).await;
         }
     }
 
-    async fn carry_out(&mut self, errand: StoreTask) {
-        let mut next = Some(errand);
+    async fn run_task(&mut self, task: StoreTask) {
+        let mut next = Some(task);
         while let Some(StoreTask { claim_id, request }) = next {
             let reply = self.store.errand(request, LONG).await;
             next = self.guard.on_task_reply(claim_id, &reply, NOW);
--- a/crates/coltsfoot-node/tests/integration/util/load_loop.rs
+++ b/crates/coltsfoot-node/tests/integration/util/load_loop.rs
@@ -61,16 +61,16 @@
         let mut call = plan.call.clone();
         call.body = format!("body of {key}");
         call.headers.push(("idempotency-key".to_owned(), key.clone()));
-        let heard: &mut Vec<String> = replies.entry(key).or_default();
+        let received: &mut Vec<String> = replies.entry(key).or_default();
         for _ in 0..=plan.repeats {
             let target = targets[sent % targets.len()];
             let reply = call.make(target).await;
             if reply.ends_with(" leaving") && targets.len() > 1 {
                 targets.retain(|other| *other != target);
             }
-            heard.push(reply);
+            received.push(reply);
             sent += 1;
-            if heard.last().is_some_and(|text| text.starts_with("200")) {
+            if received.last().is_some_and(|text| text.starts_with("200")) {
                 break;
             }
         }
@@ -87,10 +87,11 @@
 }
 
 /// What the callers of an operation that must not be repeated were told, against the `runs` that were.
-pub fn falsehoods(replies: &KeyReplies, runs: impl Fn(&str) -> usize) -> Vec<String> {
-    let judge = |(key, heard): (&String, &Vec<String>)| {
-        let nothing_ran = heard.iter().all(|text| text == "refused" || text.contains(" not-run "));
-        let has_answer = heard.iter().any(|text| text.starts_with("200"));
+pub fn false_reports(replies: &KeyReplies, runs: impl Fn(&str) -> usize) -> Vec<String> {
+    let judge = |(key, received): (&String, &Vec<String>)| {
+        let nothing_ran =
+            received.iter().all(|text| text == "refused" || text.contains(" not-run "));
+        let has_answer = received.iter().any(|text| text.starts_with("200"));
         let verdict = match runs(key) {
             0 if has_answer => "answered without a run",
             0 => return None,
@@ -98,7 +99,7 @@
             1 => return None,
             _ => "RAN TWICE",
         };
-        Some(format!("{key} {verdict}: {heard:?}"))
+        Some(format!("{key} {verdict}: {received:?}"))
     };
     replies.iter().filter_map(judge).collect()
 }
--- a/crates/coltsfoot-node/tests/integration/util/raw_peer.rs
+++ b/crates/coltsfoot-node/tests/integration/util/raw_peer.rs
@@ -8,16 +8,16 @@
 use super::store_fixture::LONG;
 
 /// Larger than any body that a node takes.
-const OVERSIZED: usize = (1 << 20) + 1;
+const OVERSIZED_BODY_BYTES: usize = (1 << 20) + 1;
 /// Rubbish of this length, more than one segment and one datagram.
-const GARBAGE: usize = 4_000;
+const GARBAGE_BYTES: usize = 4_000;
 
 /// Sends what `kind` names to `address`; the first line of the answer, or how the connection ended.
 /// A connection that is to stay half open is left in `held`.
 pub fn send_raw(address: SocketAddr, kind: &str, held: &mut Vec<TcpStream>) -> String {
     if kind == "udp-garbage" {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback");
-        for length in [0, 1, 7, 64, 1_400, GARBAGE] {
+        for length in [0, 1, 7, 64, 1_400, GARBAGE_BYTES] {
             let _ = socket.send_to(&garbage(length), address);
         }
         return "sent".to_owned();
@@ -26,7 +26,7 @@
     stream.set_read_timeout(Some(LONG)).expect("a timeout above nought");
     let path = "POST /call/front/plain HTTP/1.1\r\nhost: node\r\n";
     let bytes = match kind {
-        "garbage" => garbage(GARBAGE),
+        "garbage" => garbage(GARBAGE_BYTES),
         // A table of 512 segments, each of 2 GiB: the node must not set aside what it is promised.
         "huge-message" => [511_u32, 1 << 28].iter().flat_map(|word| word.to_le_bytes()).collect(),
         "half-head" => b"POST /call/front/plain HT".to_vec(),
@@ -34,8 +34,8 @@
         "big-header" => format!("{path}x-long: {}\r\n\r\n", "x".repeat(200_000)).into_bytes(),
         "many-headers" => format!("{path}{}\r\n", "x-one: 1\r\n".repeat(500)).into_bytes(),
         "big-body" => {
-            let head = format!("{path}content-length: {OVERSIZED}\r\n\r\n").into_bytes();
-            [head, vec![b'x'; OVERSIZED]].concat()
+            let head = format!("{path}content-length: {OVERSIZED_BODY_BYTES}\r\n\r\n").into_bytes();
+            [head, vec![b'x'; OVERSIZED_BODY_BYTES]].concat()
         }
         other => panic!("unknown kind {other}"),
     };
