--- a/crates/coltsfoot-node/tests/integration/introduction.rs
+++ b/crates/coltsfoot-node/tests/integration/introduction.rs
@@ -1,4 +1,4 @@
-//! Newcomers find the others: through the table service, or through the peers of their settings.
+//! Tests of how new nodes find the others: through the table service, or through the peers in their settings.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     TableServer::start(&TableSettings::default()).unwrap()
 }
 
-/// The rows by which newcomers find the nodes.
+/// Reads the rows by which new nodes find the others.
 fn rows(table: &TableHandle) -> Vec<StoredRow> {
     let request =
         TableRequest::Scan { prefix: "introduction/".to_owned(), after: String::new(), limit: 100 };
@@ -86,7 +86,7 @@
 #[test]
 fn a_peer_that_never_answers_does_not_hold_up_the_configuration() {
     let table = table();
-    // The kernel takes connections in, and nobody reads them.
+    // The kernel accepts connections, but nothing reads from them.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
     let peer = silent.local_addr().expect("bound");
     let node = SoloNode::start(table.address(), &[peer], "", "");
--- a/crates/coltsfoot-node/tests/integration/links.rs
+++ b/crates/coltsfoot-node/tests/integration/links.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes: the byte stream, and the calls on it.
+//! Tests of connections between nodes: the byte stream, and the calls on it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -30,10 +30,10 @@
 
 use crate::util::fake_peer::stock_call;
 
-/// What reached the connection, one entry a system call.
+/// Bytes written to the connection, one entry per system call.
 type Writes = Rc<RefCell<Vec<Vec<u8>>>>;
 
-/// Stands in for a connection.
+/// Writer that records or fails all writes in place of a connection.
 struct FakeSocket {
     writes: Writes,
     fails: bool,
@@ -71,15 +71,15 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Lets every other task that can go on go on.
+/// Yields often enough for all other ready tasks to run.
 async fn settle() {
     for _ in 0..8 {
         yield_now().await;
     }
 }
 
-/// The pattern: some hundred calls a second to each of many nodes, three messages a call, each message written as its
-/// length and its content. While the same events are worked on, a link gets the messages of several calls.
+/// The load: some hundred calls per second to each of many nodes with three messages per call, each written as its
+/// length and its content. While one batch of events is processed, a link gets the messages of several calls.
 #[rstest]
 fn messages_written_together_share_a_system_call() {
     run_local(async {
@@ -143,7 +143,7 @@
     });
 }
 
-/// A peer that takes nothing must not make this node hold all that is meant for it.
+/// A peer that reads nothing must not make this node buffer all messages to it.
 #[rstest]
 fn a_peer_that_reads_nothing_blocks_writes() {
     run_local(async {
@@ -167,7 +167,7 @@
     });
 }
 
-/// Serves calls whose body is `wait` only when it is told to, and counts those that are given up.
+/// Answers calls whose body is `wait` only when notified, and counts cancelled calls.
 #[derive(Default)]
 struct FakeGuard {
     begun: Notify,
@@ -176,7 +176,7 @@
     call_cancelled: Rc<Notify>,
 }
 
-/// Counts a call as given up unless it was answered.
+/// Counts a call as cancelled unless it was answered.
 struct Unanswered<'a>(&'a FakeGuard, bool);
 
 impl Drop for Unanswered<'_> {
@@ -225,7 +225,7 @@
     let (near, far) = connection().await;
     let guard = Rc::<FakeGuard>::default();
     let (mut reader, writer) = link_stream(far);
-    // What a caller sends first says that calls follow.
+    // The preface of a call connection.
     let served = guard.clone();
     let serving = spawn_local(async move {
         reader.read_exact(&mut [0; 8]).await.unwrap();
@@ -263,7 +263,7 @@
     });
 }
 
-/// Work for a caller that has gone would take a slot from one that waits.
+/// A call that continued after its caller has cancelled it would occupy a slot that a waiting call needs.
 #[rstest]
 fn a_cancelled_call_ends_at_the_other_node() {
     run_local(async {
@@ -330,11 +330,11 @@
         let serving = spawn_local(serve_calls(reader, writer, Rc::<FakeGuard>::default()));
 
         tokio::io::AsyncWriteExt::write_all(&mut near, &head).await.unwrap();
-        // Too many segments for a message.
+        // A segment count that is too large for a message.
         tokio::io::AsyncWriteExt::write_all(&mut near, &[0xff; 8]).await.unwrap();
         serving.await.unwrap();
 
-        // The rest of what was sent is unread: the close is a reset.
+        // Part of the sent data is unread, so the close is a reset.
         let end = tokio::io::AsyncReadExt::read(&mut near, &mut [0; 8]).await;
         assert!(matches!(end, Ok(0) | Err(_)));
     });
--- a/crates/coltsfoot-node/tests/integration/util/caller.rs
+++ b/crates/coltsfoot-node/tests/integration/util/caller.rs
@@ -1,4 +1,4 @@
-//! A caller over plain HTTP that opens a connection for each request and repeats none.
+//! Caller over plain HTTP that opens a connection for each request and retries none.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,7 +12,7 @@
 
 use super::store_fixture::LONG;
 
-/// What a caller got.
+/// Reply that a caller received.
 #[derive(Clone, Debug)]
 pub struct Reply {
     pub status: u16,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A call to be made.
+/// Description of a call to make.
 #[derive(Clone, Debug, Default)]
 pub struct PlannedCall {
     pub service: String,
@@ -36,7 +36,7 @@
 }
 
 impl PlannedCall {
-    /// Makes the call; the text tells status, outcome, and the reason or whose answer came.
+    /// Makes the call; returns a text with the status, the outcome, and the reason or the origin of the answer.
     pub async fn make(&self, address: SocketAddr) -> String {
         let path = format!("/call/{}/{}", self.service, self.operation);
         match send(address, Method::POST, &path, &self.headers, self.body.clone()).await {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Gives this call of several a key of its own, if it has one.
+    /// Makes the key of this call unique among several calls by appending `index`, if it has a key.
     pub fn number_key(&mut self, index: usize) {
         let keys = self.headers.iter_mut().filter(|(name, _)| name == "idempotency-key");
         keys.for_each(|(_, key)| *key = format!("{key}-{index}"));
@@ -54,7 +54,7 @@
     fn describe(&self, reply: &Reply) -> String {
         let head = format!("{} {}", reply.status, reply.outcome);
         if let Some(reason) = reply.json()["reason"].as_str() {
-            // The text of an upstream's own failure names chances of the run, so only its kind is told.
+            // The text of an upstream's own failure varies between runs, so only its kind is reported.
             return match reason.contains(' ') {
                 true => format!("{head} upstream's-failure"),
                 false => format!("{head} {reason}"),
@@ -75,7 +75,7 @@
         header.map(|(_, value)| value.as_str())
     }
 
-    /// What reached the upstream, against what the caller stated.
+    /// Compares the headers that reached the upstream with those that the caller sent.
     fn compare(&self, told: &EchoedHeaders) -> String {
         let stated = self.header("coltsfoot-deadline-ms").and_then(|text| text.parse().ok());
         let deadline = match (told.deadline_ms, stated.unwrap_or(u64::MAX)) {
@@ -104,7 +104,7 @@
     pub context: Option<String>,
 }
 
-/// One request; the error says `refused` where no connection was made, `broken` where it broke.
+/// Sends one request; the error is `refused` if no connection was made, `broken` if the connection failed.
 pub async fn send(
     address: SocketAddr,
     method: Method,
@@ -129,7 +129,7 @@
     timeout(LONG, exchange).await.unwrap_or(Err("no answer"))
 }
 
-/// Asks `condition` until it holds.
+/// Polls `condition` until it holds.
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let poll = async {
         while !condition().await {
--- a/crates/coltsfoot-node/tests/integration/util/claim_driver.rs
+++ b/crates/coltsfoot-node/tests/integration/util/claim_driver.rs
@@ -1,4 +1,4 @@
-//! A guard's claims over the store thread, as the daemon drives them.
+//! Drives a guard's claims through the store thread, as the daemon does.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 use super::store_fixture::LONG;
 
-/// Time stands still for the guard: no deadline passes, no errand has to wait.
+/// Fixed time for the guard, so that no deadline passes and no task has to wait.
 const NOW: MonotonicTime = MonotonicTime::from_millis(1);
 
 pub struct ClaimDriver {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Runs a claimed call, which gives `body`.
+    /// Runs a claimed call, which is answered with `body`.
     pub fn run(&mut self, result: ClaimResult, body: Vec<u8>) {
         let ClaimResult::Dispatch(ticket) = result else { panic!("{result:?}") };
         let verdict = self.guard.dispatch(ticket, NOW);
@@ -65,7 +65,7 @@
         self.guard.finish(run, answer, NOW);
     }
 
-    /// Carries out errands until none is left.
+    /// Runs store tasks until none is pending.
     pub async fn settle(&mut self) {
         while let Some(task) = self.guard.next_task(NOW) {
             self.run_task(task).await;
--- a/crates/coltsfoot-node/tests/integration/util/fake_peer.rs
+++ b/crates/coltsfoot-node/tests/integration/util/fake_peer.rs
@@ -1,4 +1,4 @@
-//! A peer that is no node.
+//! Fake peer that calls a guard without being a node.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,7 +17,7 @@
 use tokio::{net::TcpStream, runtime::Builder, task::LocalSet};
 use tokio_util::compat::TokioAsyncReadCompatExt as _;
 
-/// Calls the guard at `address` as a node whose clock shows `stamp`.
+/// Calls the guard at `address` as a node whose clock reads `stamp`.
 pub fn call_with_stamp(address: SocketAddr, stamp: HybridStamp) -> CallReply {
     let runtime = Builder::new_current_thread().enable_all().build().expect("runtime");
     LocalSet::new().block_on(&runtime, async move {
@@ -34,7 +34,7 @@
     })
 }
 
-/// A call without a body for an upstream of `stock`.
+/// Creates a call without a body for an upstream of `stock`.
 pub fn stock_call(stamp: HybridStamp) -> CallRequest {
     CallRequest {
         request: RequestId(7),
--- a/crates/coltsfoot-node/tests/integration/util/http_call.rs
+++ b/crates/coltsfoot-node/tests/integration/util/http_call.rs
@@ -1,4 +1,4 @@
-//! One HTTP request over a connection of its own.
+//! HTTP requests, each over a separate connection.
 
 use std::{
     io::{Read, Write},
--- a/crates/coltsfoot-node/tests/integration/util/load_loop.rs
+++ b/crates/coltsfoot-node/tests/integration/util/load_loop.rs
@@ -1,4 +1,4 @@
-//! Callers that go on calling until they are told to stop.
+//! Callers that send requests until they are stopped.
 
 use std::{
     net::SocketAddr,
@@ -16,18 +16,18 @@
 /// Replies to each key, in order.
 pub type KeyReplies = IndexMap<String, Vec<String>>;
 
-/// What the callers do.
+/// Load that the callers generate.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Nodes called in turn; a caller turns away from one that says that it leaves.
+    /// Nodes called in turn; a caller stops calling a node that announces its leave, unless it is the only one left.
     pub targets: Vec<SocketAddr>,
     pub call: PlannedCall,
     pub callers: usize,
-    /// How often a caller repeats a request under its key, at the next node, until it has an answer.
+    /// Maximum number of times a caller repeats a request under its key, at the next node, until it has an answer.
     pub repeats: usize,
 }
 
-/// Callers under way.
+/// Running callers.
 pub struct LoadLoop {
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<KeyReplies>>,
@@ -78,7 +78,7 @@
     replies
 }
 
-/// The kinds of replies, without connections refused by a node that has stopped: those are no requests.
+/// Returns the kinds of replies, without connections refused by a stopped node, which are not requests.
 pub fn kinds(replies: &KeyReplies) -> Vec<String> {
     let all: IndexSet<_> = replies.values().flatten().filter(|text| *text != "refused").collect();
     let mut kinds: Vec<_> = all.into_iter().map(|text| format!("some {text}")).collect();
@@ -86,7 +86,7 @@
     kinds
 }
 
-/// What the callers of an operation that must not be repeated were told, against the `runs` that were.
+/// Returns replies that contradict the actual number of `runs` of an operation that must not be repeated.
 pub fn false_reports(replies: &KeyReplies, runs: impl Fn(&str) -> usize) -> Vec<String> {
     let judge = |(key, received): (&String, &Vec<String>)| {
         let nothing_ran =
--- a/crates/coltsfoot-node/tests/integration/util/node_metrics.rs
+++ b/crates/coltsfoot-node/tests/integration/util/node_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics for parts that report to them.
+//! Metrics for components under test.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     Arc::new(NodeMetrics::new().expect("definitions"))
 }
 
-/// Value of the series `name`, labels in braces included.
+/// Returns the value of the series `name`, which includes its labels in braces.
 pub fn value_of(metrics: &NodeMetrics, name: &str) -> f64 {
     let text = metrics.render().expect("render");
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
--- a/crates/coltsfoot-node/tests/integration/util/raw_peer.rs
+++ b/crates/coltsfoot-node/tests/integration/util/raw_peer.rs
@@ -1,4 +1,4 @@
-//! Peers and clients that send what no sound one would.
+//! Peers and clients that send malformed data.
 
 use std::{
     io::{Read, Write},
@@ -7,13 +7,13 @@
 
 use super::store_fixture::LONG;
 
-/// Larger than any body that a node takes.
+/// Body size in bytes that exceeds what a node accepts.
 const OVERSIZED_BODY_BYTES: usize = (1 << 20) + 1;
-/// Rubbish of this length, more than one segment and one datagram.
+/// Length in bytes of malformed data; more than one segment and one datagram.
 const GARBAGE_BYTES: usize = 4_000;
 
-/// Sends what `kind` names to `address`; the first line of the answer, or how the connection ended.
-/// A connection that is to stay half open is left in `held`.
+/// Sends the data that `kind` names to `address`; returns the first line of the answer, or how the connection ended.
+/// Adds a connection that is to stay half open to `held`.
 pub fn send_raw(address: SocketAddr, kind: &str, held: &mut Vec<TcpStream>) -> String {
     if kind == "udp-garbage" {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback");
@@ -27,7 +27,7 @@
     let path = "POST /call/front/plain HTTP/1.1\r\nhost: node\r\n";
     let bytes = match kind {
         "garbage" => garbage(GARBAGE_BYTES),
-        // A table of 512 segments, each of 2 GiB: the node must not set aside what it is promised.
+        // A table of 512 segments of 2 GiB each: the node must not allocate the announced size.
         "huge-message" => [511_u32, 1 << 28].iter().flat_map(|word| word.to_le_bytes()).collect(),
         "half-head" => b"POST /call/front/plain HT".to_vec(),
         "half-body" => format!("{path}content-length: 100\r\n\r\nhalf").into_bytes(),
@@ -61,12 +61,12 @@
         }
     }
     let line = String::from_utf8_lossy(&answer);
-    // What a peer port says before it closes is not text.
+    // The bytes that a peer port sends before it closes are not text.
     let line = line.lines().next().filter(|line| line.starts_with("HTTP"));
     line.unwrap_or("closed").to_owned()
 }
 
 fn garbage(length: usize) -> Vec<u8> {
-    // The high bit keeps it from being read as small numbers.
+    // The high bit prevents the bytes from being read as small numbers.
     (0..length).map(|index| (index * 37 % 251) as u8 | 0x80).collect()
 }
--- a/crates/coltsfoot-node/tests/integration/util/solo_node.rs
+++ b/crates/coltsfoot-node/tests/integration/util/solo_node.rs
@@ -1,4 +1,4 @@
-//! A node in the test's own process, with a table stand-in behind it.
+//! Node in the test's own process, with a table stand-in as its store.
 
 use std::{net::SocketAddr, sync::mpsc, time::Duration};
 
@@ -17,7 +17,7 @@
 
 use super::http_call::{HttpAnswer, http_call};
 
-/// One service with one operation that may run again, and one that may not.
+/// Schema of one service with a repeatable operation and one that must not be repeated.
 pub const SCHEMA: &str = "
 deployment: test
 services:
@@ -38,7 +38,7 @@
 }
 
 impl SoloNode {
-    /// `limits` is added to the limits of the settings, `store` to the settings of the store.
+    /// Starts a node; `limits` is added to the limits of the settings, `store` to the settings of the store.
     pub fn start(table: SocketAddr, peers: &[SocketAddr], limits: &str, store: &str) -> Self {
         let peers: Vec<String> = peers.iter().map(|peer| format!("\"{peer}\"")).collect();
         let text = format!(
@@ -54,7 +54,7 @@
         Self { process, addresses }
     }
 
-    /// Submits [`SCHEMA`] and waits until it is in force here.
+    /// Submits [`SCHEMA`] and waits until it is in force on this node.
     pub fn configure(&self) {
         let headers = [("if-match", "0"), ("idempotency-key", "first")];
         let answer = self.host_call("PUT", "/schema", &headers, SCHEMA);
@@ -71,7 +71,7 @@
         http_call(self.addresses.host, method, path, headers, body)
     }
 
-    /// Starts an upstream of `stock` beside the node.
+    /// Starts an upstream of `stock` for the node.
     pub fn start_upstream(&self) -> UpstreamHandle {
         let schema = SchemaDocument::from_yaml(SCHEMA).expect("schema");
         let mut settings = UpstreamSettings::new(ServiceName::new("stock"), schema);
@@ -92,7 +92,7 @@
         events(self.addresses.host)
     }
 
-    /// Waits until an event that `wanted` picks has happened, and gives what it picks.
+    /// Waits for an event for which `wanted` returns a value, and returns that value.
     pub fn await_event<T>(&self, wanted: impl Fn(&EventRecord) -> Option<T>) -> T {
         await_event(self.addresses.host, wanted)
     }
@@ -109,7 +109,7 @@
     }
 }
 
-/// Calls the operation of [`SCHEMA`] through the node whose clients' listener is `client`.
+/// Calls the operation of [`SCHEMA`] through the node with the client listener `client`.
 pub fn call(client: SocketAddr) -> HttpAnswer {
     http_call(client, "POST", "/call/stock/look", &[], "{}")
 }
--- a/crates/coltsfoot-node/tests/integration/util/store_fixture.rs
+++ b/crates/coltsfoot-node/tests/integration/util/store_fixture.rs
@@ -1,4 +1,4 @@
-//! A table stand-in and a store thread in front of it.
+//! Table stand-in with a store thread that accesses it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
 
 use super::node_metrics::node_metrics;
 
-/// Far more than any request takes: a test that reaches it has failed.
+/// Timeout far longer than any request takes; a test that reaches it has failed.
 pub const LONG: Duration = Duration::from_secs(30);
 
 pub struct StoreFixture {
@@ -49,7 +49,7 @@
     }
 }
 
-/// A running journal; it ends with its senders.
+/// Starts a journal, which runs until its senders are dropped.
 pub fn event_log(metrics: &Arc<NodeMetrics>) -> (EventSender, EventReader) {
     let journal =
         EventJournal::new(NodeId("127.0.0.1:4711".parse().expect("address")), Incarnation(1));
--- a/crates/coltsfoot-node/tests/integration/util/stub_upstream.rs
+++ b/crates/coltsfoot-node/tests/integration/util/stub_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that tells what it was sent, or answers in a way that a sound upstream would not.
+//! Upstream that echoes the headers it was sent, or answers in a way that a correct upstream would not.
 
 use std::{
     io::{BufRead, BufReader, Read, Write},
@@ -16,17 +16,17 @@
 /// How the stub answers.
 #[derive(Clone, Copy, Debug)]
 pub enum StubMode {
-    /// With the headers it was sent.
+    /// Answers with the headers it was sent.
     Echo,
-    /// Without a stated length, ended by the end of the connection.
+    /// Answers without a content length; the body ends with the connection.
     NoLength,
-    /// With fewer bytes than it stated.
+    /// Answers with fewer bytes than announced.
     CutOff,
-    /// With half a chunk.
+    /// Answers with half a chunk.
     CutChunk,
-    /// That it sheds the call and ran nothing, right after it has sent a nested call of it.
+    /// Answers that it sheds the call and ran nothing, right after it has sent a nested call.
     ShedNested,
-    /// Never, until the caller closes the connection.
+    /// Does not answer until the caller closes the connection.
     Hang,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The stub; it ends with the process.
+/// Stub upstream, which runs until the process ends.
 pub struct StubUpstream {
     pub address: SocketAddr,
     runs: Arc<AtomicUsize>,
@@ -52,7 +52,7 @@
 }
 
 impl StubUpstream {
-    /// A stub beside the node with the host listener `host`.
+    /// Starts a stub for the node with the host listener `host`.
     pub fn start(mode: StubMode, host: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
         let address = listener.local_addr().expect("bound");
@@ -120,12 +120,12 @@
     let Ok(mut stream) = TcpStream::connect(host) else { return };
     let head = "POST /call/leaf/read HTTP/1.1\r\nhost: node\r\ncontent-length: 0\r\n";
     let _ = write!(stream, "{head}coltsfoot-context: {context}\r\n\r\n");
-    // Long enough to be taken in; the answer takes longer than that.
+    // Long enough for the call to be admitted; the answer takes longer.
     let _ = stream.set_read_timeout(Some(Duration::from_millis(300)));
     let _ = stream.read(&mut [0; 1]);
 }
 
-/// Whether the connection can carry another request.
+/// Sends the answer; returns whether the connection can carry another request.
 fn answer(
     reader: &mut BufReader<TcpStream>,
     mode: StubMode,
--- a/crates/coltsfoot-node/tests/integration/util/test_node.rs
+++ b/crates/coltsfoot-node/tests/integration/util/test_node.rs
@@ -1,4 +1,4 @@
-//! A whole node, in threads of the test or as a process of its own, and the upstream beside it.
+//! Complete node with its upstream, in threads of the test or as a separate process.
 
 use std::{
     io::{BufRead, BufReader},
@@ -26,7 +26,7 @@
     stub_upstream::StubUpstream,
 };
 
-/// Where a node listens.
+/// Addresses on which a node listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     pub client: SocketAddr,
@@ -39,13 +39,13 @@
     Process(Child),
 }
 
-/// The upstream beside a node.
+/// The upstream of a node.
 pub enum Beside {
     Standin(UpstreamHandle),
     Stub(StubUpstream),
 }
 
-/// Settings of a node that scenarios choose.
+/// Settings of a node that scenarios can choose.
 #[derive(Clone, Debug)]
 pub struct NodePlan {
     pub domain: String,
@@ -57,7 +57,7 @@
 }
 
 impl NodePlan {
-    /// Everything unset; the deployment fills in table and peers.
+    /// Creates a plan with everything unset; the deployment fills in the table and the peers.
     pub fn new() -> Self {
         Self {
             domain: String::new(),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The settings file; a node that starts again takes the `addresses` of its life before.
+    /// Returns the settings file; a restarted node uses the `addresses` of its previous incarnation.
     fn settings(&self, addresses: Option<Addresses>) -> String {
         let any = SocketAddr::from((own_loopback(), 0));
         let Addresses { client, host, peer } =
@@ -90,13 +90,13 @@
     }
 }
 
-/// A whole node and the upstream beside it.
+/// A complete node and its upstream.
 pub struct TestNode {
     pub plan: NodePlan,
     pub addresses: Addresses,
     pub beside: Option<Beside>,
     pub service: Option<String>,
-    /// Whether the upstream has said that it leaves.
+    /// Whether the upstream has announced that it leaves.
     pub has_left: bool,
     running: Option<Running>,
 }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Starts again at the same addresses.
+    /// Restarts the node at the same addresses.
     pub fn restart(&mut self) {
         assert!(self.running.is_none(), "the node runs");
         self.running = Some(run(&self.plan, Some(self.addresses)).0);
@@ -146,7 +146,7 @@
         self.service = Some(service.to_owned());
     }
 
-    /// The stub's heartbeat.
+    /// Sends the stub's heartbeat.
     pub async fn announce_stub(&self) {
         let Some(Beside::Stub(stub)) = self.beside.as_ref().filter(|_| !self.has_left) else {
             return;
@@ -154,7 +154,7 @@
         let body = serde_json::json!({
             "service": self.service, "address": stub.address, "slots": 32, "connections": 128,
         });
-        // A node that is gone hears of its upstream when it is back.
+        // A stopped node is notified of its upstream after it has restarted.
         let _ = self.ask(Method::PUT, "/upstream", &[], body.to_string()).await;
     }
 
@@ -173,7 +173,7 @@
         reply.map(|reply| reply.json()).unwrap_or_default()
     }
 
-    /// Begins a planned stop: by signal for a process, by its own thread otherwise.
+    /// Begins a planned stop: by signal for a process, otherwise in a separate thread.
     pub fn begin_stop(&mut self) -> Box<dyn FnOnce() -> bool + Send + Sync> {
         match self.running.take() {
             Some(Running::Threads(process)) => {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// SIGSTOP or SIGCONT; only for a process.
+    /// Sends SIGSTOP or SIGCONT; only for a process.
     pub fn pause(&self, is_paused: bool) {
         let Some(Running::Process(child)) = &self.running else {
             panic!("only a process can be paused")
@@ -196,7 +196,7 @@
         signal(child, if is_paused { Signal::STOP } else { Signal::CONT });
     }
 
-    /// SIGKILL; only for a process.
+    /// Sends SIGKILL; only for a process.
     pub fn kill(&mut self) {
         let Some(Running::Process(mut child)) = self.running.take() else {
             panic!("only a process can be killed")
@@ -209,7 +209,7 @@
 impl Drop for TestNode {
     fn drop(&mut self) {
         if let Some(Running::Process(child)) = &mut self.running {
-            // It may have ended by itself.
+            // The process may have exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -259,7 +259,7 @@
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// A file name that no other test uses.
+/// Returns the path of a temporary file that no other test uses.
 pub fn temp_file(name: &str) -> PathBuf {
     let serial = next_serial();
     PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
--- a/crates/coltsfoot-node/tests/integration/util/world.rs
+++ b/crates/coltsfoot-node/tests/integration/util/world.rs
@@ -1,4 +1,4 @@
-//! A deployment on loopback: the platform's stand-ins, nodes, upstreams and callers.
+//! Deployment on loopback: the platform's stand-ins, nodes, upstreams and callers.
 
 use std::{
     io::Read,
@@ -85,7 +85,7 @@
         self.node_mut(node).start_stub(service, stub);
     }
 
-    /// Submits a schema of `tests/schemas`; tells the status, and what the answer says.
+    /// Submits a schema of `tests/schemas`; returns a text with the status and the content of the answer.
     pub fn submit(&self, node: &str, schema: &str, headers: &[(String, String)]) -> String {
         let (text, _) = read_schema(schema);
         let request = self.node(node).ask(Method::PUT, "/schema", headers, text);
@@ -110,7 +110,7 @@
         lines.join("\n")
     }
 
-    /// Faults of the table service, for the next `count` requests or until the next command.
+    /// Sets a fault of the table service for the next `count` requests or until the next command.
     pub fn fault_table(&self, mode: &str, count: Option<u64>, ms: u64) {
         let mode = match mode {
             "up" => FaultMode::Up,
@@ -154,13 +154,13 @@
         self.calls.insert(id.to_owned(), handle);
     }
 
-    /// Runs under `key` over all upstreams, those that are gone included.
+    /// Returns the number of runs under `key` at all upstreams, including stopped ones.
     pub fn runs_of(&self, key: &str) -> usize {
         let log = std::fs::read_to_string(&self.run_log).unwrap_or_default();
         log.lines().filter(|line| line.split_whitespace().nth(1) == Some(key)).count()
     }
 
-    /// Runs at the upstreams of `service`; with `is_running` those under way only.
+    /// Returns the number of runs at the upstreams of `service`; with `is_running` only those in progress.
     pub fn runs_at(&self, service: &str, is_running: bool) -> usize {
         let nodes = self.nodes.values().filter(|node| node.service.as_deref() == Some(service));
         let runs = nodes.filter_map(|node| node.beside.as_ref()).map(|beside| match beside {
@@ -172,7 +172,7 @@
         runs.sum()
     }
 
-    /// The upstream leaves and ends: how many runs it had to give up.
+    /// Makes the upstream leave and stop; returns a text with the number of runs that it had to abort.
     pub fn stop_upstream(&mut self, node: &str) -> String {
         match self.node_mut(node).beside.take() {
             Some(Beside::Standin(upstream)) => format!("cancelled={}", upstream.stop().cancelled),
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Runs of the stub beside `node` that begin within `time`.
+    /// Returns the number of runs of the stub of `node` that begin within `time`.
     pub fn new_runs(&self, node: &str, time: Duration) -> usize {
         let Some(Beside::Stub(stub)) = &self.node(node).beside else { panic!("no stub") };
         let before = stub.runs();
@@ -197,7 +197,7 @@
         self.stops.swap_remove(node).is_some_and(|end| end())
     }
 
-    /// The upstream says that it leaves, and goes on serving.
+    /// Makes the upstream announce its leave while it continues to serve.
     pub fn leave(&mut self, node: &str) {
         self.node_mut(node).has_left = true;
         let node = self.node(node);
@@ -251,11 +251,11 @@
         }
     }
 
-    /// Waits until the nodes have closed the connections that slow peers hold.
+    /// Waits until the nodes have closed the connections that slow peers keep open.
     pub fn await_held_closed(&mut self) {
         for mut stream in self.held.drain(..) {
             stream.set_read_timeout(Some(LONG)).expect("a timeout above nought");
-            // It may say something before.
+            // The node may send data before it closes the connection.
             let ended = stream.read_to_end(&mut Vec::new());
             let is_open = |err: std::io::Error| err.kind() == std::io::ErrorKind::WouldBlock;
             assert!(!ended.is_err_and(is_open), "a slow peer keeps its connection");
@@ -269,12 +269,12 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        // It exists only where a run under a key took place.
+        // The file exists only if a run under a key took place.
         let _ = std::fs::remove_file(&self.run_log);
     }
 }
 
-/// A schema of `tests/schemas`; the document is empty if it is faulty.
+/// Reads a schema of `tests/schemas`; the document is empty if the schema is invalid.
 fn read_schema(name: &str) -> (String, SchemaDocument) {
     let path = format!("{}/tests/schemas/{name}.yaml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).unwrap_or_else(|err| panic!("{path}: {err}"));
