--- a/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/call_guard.rs
@@ -27,7 +27,7 @@
     border::UpstreamDialect,
     dispatch::{
         context::NodeContext,
-        links::{IntroductionDesk, PeerLinks, QuarantineDesk},
+        links::{IntroductionService, PeerLinks, QuarantineService},
     },
     store::StoreHandle,
 };
@@ -62,10 +62,10 @@
 pub struct CallGuard {
     pub(in crate::dispatch) context: Rc<NodeContext>,
     pub(in crate::dispatch) links: Rc<PeerLinks>,
-    pub(in crate::dispatch) introduction: Rc<IntroductionDesk>,
-    /// Quarantine of requests that crash their upstreams.
-    pub(super) quarantine: Rc<QuarantineDesk>,
-    /// The upstream, its gate, and the calls that wait for admission.
+    pub(in crate::dispatch) introduction: Rc<IntroductionService>,
+    /// Requests that end their upstreams.
+    pub(super) quarantine: Rc<QuarantineService>,
+    /// The upstream, its gate, and the calls that wait at it.
     pub(in crate::dispatch) state: GuardState,
     /// Calls that the upstream is processing.
     pub(in crate::dispatch) spans: CallsInFlight,
@@ -99,8 +99,8 @@
     pub fn new(
         context: Rc<NodeContext>,
         links: Rc<PeerLinks>,
-        introduction: Rc<IntroductionDesk>,
-        quarantine: Rc<QuarantineDesk>,
+        introduction: Rc<IntroductionService>,
+        quarantine: Rc<QuarantineService>,
         settings: GuardSettings,
     ) -> Self {
         let identity = &context.identity;
--- a/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
+++ b/crates/coltsfoot-node/src/dispatch/guard/local_upstream.rs
@@ -52,7 +52,7 @@
                 connections: announcement.connections,
             });
             self.context.send_gossip_command(command).await;
-            self.introduction.want(&announcement);
+            self.introduction.set_upstream(&announcement);
             self.service_changed.notify_one();
         }
         HttpReply::json(StatusCode::OK, &serde_json::json!({ "revision": self.context.revision() }))
@@ -61,12 +61,10 @@
     /// Handles a heartbeat that says that the upstream accepts no new work. Only its leave is announced to other nodes;
     /// an upstream that this node does not know yet is recorded first.
     async fn note_leaving(&self, announcement: UpstreamAnnouncement) {
-        let is_known = self
-            .state
-            .upstream
-            .borrow()
-            .as_ref()
-            .is_some_and(|known| known.announcement.life() == announcement.life());
+        let is_known =
+            self.state.upstream.borrow().as_ref().is_some_and(|known| {
+                known.announcement.incarnation() == announcement.incarnation()
+            });
         if !is_known {
             *self.state.upstream.borrow_mut() = Some(GuardedUpstream {
                 announcement,
@@ -176,8 +174,8 @@
             return self.handle_draining_heartbeat(heartbeat).await;
         }
         let UpstreamHeartbeat { announcement, instance, sequence, .. } = heartbeat;
-        // A late heartbeat must not bring back an instance whose leave the previous incarnation of this node recorded.
-        if !self.introduction.await_resumed().await {
+        // A late one must not bring back what the life before this one has seen off.
+        if !self.introduction.await_previous_row().await {
             return self.not_acknowledged(instance.name, false);
         }
         if self.record_heartbeat(&instance, sequence) == HeartbeatVerdict::Fresh {
@@ -255,18 +253,18 @@
     /// Resumes the upstream that the previous incarnation of this node guarded, because its next heartbeat may be
     /// seconds away. Another instance at its address refuses calls that are not meant for it.
     pub async fn resume_upstream(self: Rc<Self>) {
-        match self.introduction.read_row().await {
+        match self.introduction.read_previous_row().await {
             Some(UpstreamRow::Serving(announcement)) => self.resume_serving(announcement).await,
             Some(UpstreamRow::Departed { departed, born }) => {
                 self.leave_instance(InstanceIncarnation::new(departed).with_started(born)).await;
             }
             None => {}
         }
-        self.introduction.note_resumed();
+        self.introduction.note_previous_row_read();
     }
 
     async fn resume_serving(self: &Rc<Self>, announcement: UpstreamAnnouncement) {
-        let Some(instance) = announcement.life() else { return };
+        let Some(instance) = announcement.incarnation() else { return };
         let is_first = self.state.instances.borrow_mut().restore(&instance);
         if is_first {
             self.announce_upstream(announcement).await;
--- a/crates/coltsfoot-node/src/dispatch/ingress/call_ingress.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/call_ingress.rs
@@ -15,7 +15,7 @@
 use crate::dispatch::{
     context::NodeContext,
     guard::CallGuard,
-    links::{CreditOwner, IntroductionStore, PeerLinks, QuarantineDesk},
+    links::{CreditOwner, IntroductionStore, PeerLinks, QuarantineService},
 };
 
 /// Accepts requests and routes them to upstreams. The guard of the local upstream is treated like the guards of
@@ -25,9 +25,9 @@
     pub(super) links: Rc<PeerLinks>,
     pub(super) guard: Rc<CallGuard>,
     pub(super) introductions: IntroductionStore,
-    /// Quarantine of requests that crash their upstreams.
-    pub(super) quarantine: Rc<QuarantineDesk>,
-    /// Credit of the teams that this node owns.
+    /// Requests that end their upstreams.
+    pub(super) quarantine: Rc<QuarantineService>,
+    /// The credit of teams that this node owns.
     pub(super) owner: Rc<CreditOwner>,
     /// Credit of the teams whose requests enter here.
     pub(super) quotas: RefCell<IndexMap<TeamName, Rc<TeamQuota>>>,
@@ -56,7 +56,7 @@
         links: Rc<PeerLinks>,
         guard: Rc<CallGuard>,
         introductions: IntroductionStore,
-        quarantine: Rc<QuarantineDesk>,
+        quarantine: Rc<QuarantineService>,
         owner: Rc<CreditOwner>,
     ) -> Self {
         Self {
--- a/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
+++ b/crates/coltsfoot-node/src/dispatch/ingress/team_credits.rs
@@ -19,7 +19,7 @@
 use crate::{
     dispatch::{
         context::{CREDIT_REQUEST_BYTES, CREDIT_RESPONSE_BYTES},
-        links::CreditWish,
+        links::CreditDemand,
     },
     metrics::ControlKind,
 };
@@ -128,7 +128,7 @@
         if wanted == 0 {
             return;
         }
-        let wish = CreditWish { wanted, used: quota.credit.borrow().used() };
+        let wish = CreditDemand { wanted, used: quota.credit.borrow().used() };
         quota.is_requesting.set(true);
         let (ingress, team, quota) = (self.clone(), team.clone(), quota.clone());
         spawn_local(async move {
@@ -149,9 +149,8 @@
         });
     }
 
-    /// Requests credit from the node that owns the credit of `team`, as far as this node knows; `None` if no node
-    /// confirms that it is the owner.
-    async fn request_credit(&self, team: &TeamName, wish: CreditWish) -> Option<CreditGrant> {
+    /// Asks who owns the credit of `team`, as far as this node knows; `None` if nobody says so of itself.
+    async fn request_credit(&self, team: &TeamName, wish: CreditDemand) -> Option<CreditGrant> {
         for service in self.owning_services(team) {
             self.watch(&service).await;
             let Some(owner) = self.owner.owner_in(&service, team) else {
@@ -178,10 +177,10 @@
         &self,
         owner: NodeId,
         team: &TeamName,
-        wish: CreditWish,
+        wish: CreditDemand,
     ) -> Option<CreditGrant> {
         if owner == self.context.identity.node {
-            return self.owner.ask(owner, team, wish);
+            return self.owner.grant(owner, team, wish);
         }
         timeout(OWNER_TIMEOUT, self.request_from_remote_owner(owner, team, wish)).await.ok()?
     }
@@ -190,7 +189,7 @@
         &self,
         owner: NodeId,
         team: &TeamName,
-        wish: CreditWish,
+        wish: CreditDemand,
     ) -> Option<CreditGrant> {
         let link = self.links.get(owner).await.ok()?;
         let mut request = link.client().take_credit_request();
--- a/crates/coltsfoot-node/src/dispatch/links/case_keeper.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/case_store.rs
@@ -1,4 +1,5 @@
-//! How cases of requests that end their upstreams outlast the nodes: their rows in the table service.
+//! Stores cases of requests that crash their upstreams as rows in the table service, so that they survive restarts of
+//! the nodes.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -16,39 +17,39 @@
     clock::wall_millis, dispatch::context::NodeContext, journal::LOG_TARGET, store::StoreHandle,
 };
 
-/// Time one request to the table service may take.
-const STORE_DEADLINE: Duration = Duration::from_secs(2);
-/// First pause until the table service is asked again, doubled up to the longest.
+/// Timeout of one request to the table service.
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause before the first retry of a request to the table service; doubled for each retry up to `MAX_STORE_PAUSE`.
 const FIRST_STORE_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause until the table service is asked again.
-const LONGEST_STORE_PAUSE: Duration = Duration::from_secs(10);
-/// How long an operator waits for what was changed to be written down: several times what a write takes.
-const WRITTEN_WAIT: Duration = Duration::from_secs(1);
+/// Longest pause between two attempts of a request to the table service.
+const MAX_STORE_PAUSE: Duration = Duration::from_secs(10);
+/// Longest time that an operator's request waits for its change to be written: several times as long as a write takes.
+const MAX_WRITE_WAIT: Duration = Duration::from_secs(1);
 
-/// The rows of cases, as far as they are this node's to write.
-pub(super) struct CaseKeeper {
+/// Reads the rows of all cases, and writes those of the cases that this node is responsible for.
+pub(super) struct CaseStore {
     context: Rc<NodeContext>,
     store: StoreHandle,
-    /// Cases to write down, the one that has waited longest first.
+    /// Cases waiting to be written, oldest first.
     unwritten: RefCell<IndexMap<RequestFingerprint, CaseTerm>>,
     unwritten_changed: Notify,
     written: Notify,
 }
 
-impl CaseKeeper {
-    /// Nothing to write yet.
+impl CaseStore {
+    /// Creates a case store with no cases to write.
     pub(super) fn new(context: Rc<NodeContext>, store: StoreHandle) -> Self {
         let unwritten = RefCell::default();
         Self { context, store, unwritten, unwritten_changed: Notify::new(), written: Notify::new() }
     }
 
-    /// The case is to be written down.
-    pub(super) fn write_down(&self, fingerprint: RequestFingerprint, term: CaseTerm) {
+    /// Queues the case for writing to the table service.
+    pub(super) fn queue_write(&self, fingerprint: RequestFingerprint, term: CaseTerm) {
         self.unwritten.borrow_mut().insert(fingerprint, term);
         self.unwritten_changed.notify_one();
     }
 
-    /// Waits until nothing of the case is left to write down, up to a bound; returns whether that is so.
+    /// Waits until no write of the case is pending, for at most `MAX_WRITE_WAIT`; returns whether none is.
     pub(super) async fn await_written(&self, fingerprint: RequestFingerprint) -> bool {
         let written = async {
             loop {
@@ -59,10 +60,10 @@
                 changed.await;
             }
         };
-        timeout(WRITTEN_WAIT, written).await.is_ok()
+        timeout(MAX_WRITE_WAIT, written).await.is_ok()
     }
 
-    /// Writes cases down as they come.
+    /// Writes queued cases to the table service as they arrive; never returns.
     pub(super) async fn write_cases(&self) {
         let mut pause = FIRST_STORE_PAUSE;
         loop {
@@ -73,11 +74,11 @@
                 continue;
             };
             let row = QuarantineRow { term, changed_ms: wall_millis() };
-            match self.ask(row.write(fingerprint)).await {
+            match self.request(row.write(fingerprint)).await {
                 TableReply::Unavailable | TableReply::Uncertain => {
                     pause = self.await_store(pause).await;
                 }
-                // A row that stands is another node's, of the same case.
+                // A conflicting row was written by another node for the same case.
                 TableReply::Committed | TableReply::Conflict(_) | TableReply::Rows(_) => {
                     self.note_written(fingerprint, term);
                     pause = FIRST_STORE_PAUSE;
@@ -94,11 +95,11 @@
         self.written.notify_waiters();
     }
 
-    /// The cases that stand in the table service; asks until it answers.
+    /// Reads all cases from the table service, retrying until it answers.
     pub(super) async fn read_cases(&self) -> Vec<CaseNote> {
         let mut pause = FIRST_STORE_PAUSE;
         loop {
-            if let TableReply::Rows(rows) = self.ask(QuarantineRow::scan()).await {
+            if let TableReply::Rows(rows) = self.request(QuarantineRow::scan()).await {
                 let wall = wall_millis();
                 let cases = rows.iter().filter_map(|row| QuarantineRow::read(row, wall));
                 let cases: Vec<_> = cases.collect();
@@ -115,22 +116,22 @@
         }
     }
 
-    /// Asks for the one trial of a case.
+    /// Claims the single trial of a case.
     pub(super) async fn claim_trial(
         &self,
         fingerprint: RequestFingerprint,
         term: CaseTerm,
     ) -> TrialClaim {
-        TrialClaim::of(&self.ask(trial_claim(fingerprint, term)).await)
+        TrialClaim::of(&self.request(trial_claim(fingerprint, term)).await)
     }
 
-    /// Waits for about `pause` until the table service may be asked again; returns the next pause.
+    /// Waits for about `pause` before the next request to the table service; returns the pause after that.
     async fn await_store(&self, pause: Duration) -> Duration {
         sleep(self.context.jittered(pause)).await;
-        (pause * 2).min(LONGEST_STORE_PAUSE)
+        (pause * 2).min(MAX_STORE_PAUSE)
     }
 
-    async fn ask(&self, request: TableRequest) -> TableReply {
-        self.store.request(request, STORE_DEADLINE, StoreUse::Quarantine).await
+    async fn request(&self, request: TableRequest) -> TableReply {
+        self.store.request(request, STORE_TIMEOUT, StoreUse::Quarantine).await
     }
 }
--- a/crates/coltsfoot-node/src/dispatch/links/link_table.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/link_table.rs
@@ -1,4 +1,4 @@
-//! Connections by node, opened on first use.
+//! Table of connections by node, opened on first use.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,56 +20,56 @@
 
 type LinkSlots<L> = Rc<RefCell<IndexMap<NodeId, LinkSlot<L>>>>;
 
-/// Connections by node, one a node, opened on first use.
+/// Connections by node, one per node, opened on first use.
 pub(super) struct LinkTable<L> {
     slots: LinkSlots<L>,
     next_serial: Cell<u64>,
 }
 
-/// The place of one connection in its table. Dropped, the table forgets the connection: a call sent over it later
-/// would be lost with an unknown outcome.
-pub(super) struct LinkPlace<L> {
+/// The registration of one connection in its table. Dropping it removes the connection from the table: a call sent over
+/// it later would be lost with an unknown outcome.
+pub(super) struct LinkRegistration<L> {
     slots: LinkSlots<L>,
     node: NodeId,
     serial: u64,
 }
 
-impl<L> LinkPlace<L> {
-    /// The number of the connection, never used again for another one.
+impl<L> LinkRegistration<L> {
+    /// Returns the serial number of the connection, which is never reused.
     pub(super) fn serial(&self) -> u64 {
         self.serial
     }
 }
 
-impl<L> Drop for LinkPlace<L> {
+impl<L> Drop for LinkRegistration<L> {
     fn drop(&mut self) {
-        forget(&self.slots, self.node, self.serial);
+        remove_link(&self.slots, self.node, self.serial);
     }
 }
 
 impl<L: Clone> LinkTable<L> {
-    /// No connections yet.
+    /// Creates an empty table.
     pub(super) fn new() -> Self {
         Self { slots: Rc::default(), next_serial: Cell::new(0) }
     }
 
-    /// The connection to `node`; concurrent callers share one attempt to `open` it.
+    /// Returns the connection to `node`; concurrent callers share one attempt to `open` it.
     ///
     /// # Errors
     ///
-    /// What `open` fails with.
+    /// Returns the error of `open`.
     pub(super) async fn get(
         &self,
         now: MonotonicTime,
         node: NodeId,
-        open: impl AsyncFnOnce(LinkPlace<L>) -> Result<L, LinkError>,
+        open: impl AsyncFnOnce(LinkRegistration<L>) -> Result<L, LinkError>,
     ) -> Result<L, LinkError> {
         let (cell, serial) = self.slot(now, node);
         if let Some(link) = cell.get() {
             return Ok(link.clone());
         }
-        let place = || LinkPlace { slots: self.slots.clone(), node, serial };
-        let link = cell.get_or_try_init(|| open(place())).await;
+        let registration = || LinkRegistration { slots: self.slots.clone(), node, serial };
+        let link = cell.get_or_try_init(|| open(registration())).await;
         link.cloned()
     }
 
@@ -84,23 +84,23 @@
         (slot.link.clone(), slot.serial)
     }
 
-    /// Forgets a connection that failed, unless it has been replaced since.
-    pub(super) fn failed(&self, node: NodeId, serial: u64) {
-        forget(&self.slots, node, serial);
+    /// Removes a failed connection, unless it has been replaced since.
+    pub(super) fn remove_failed(&self, node: NodeId, serial: u64) {
+        remove_link(&self.slots, node, serial);
     }
 
-    /// Forgets connections that have not been used since `since`. A call in flight holds a clone of its link.
+    /// Removes connections that have not been used since `since`. A call in flight holds a clone of its link.
     pub(super) fn close_unused(&self, since: MonotonicTime) {
         self.slots.borrow_mut().retain(|_, slot| slot.used > since);
     }
 
-    /// Number of connections.
+    /// Returns the number of connections.
     pub(super) fn count(&self) -> usize {
         self.slots.borrow().len()
     }
 }
 
-fn forget<L>(slots: &LinkSlots<L>, node: NodeId, serial: u64) {
+fn remove_link<L>(slots: &LinkSlots<L>, node: NodeId, serial: u64) {
     let mut slots = slots.borrow_mut();
     if slots.get(&node).is_some_and(|slot| slot.serial == serial) {
         slots.swap_remove(&node);
--- a/crates/coltsfoot-node/src/dispatch/links/peer_server.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/peer_server.rs
@@ -1,4 +1,4 @@
-//! What other nodes may ask of this one.
+//! Serves the requests of other nodes.
 
 use std::rc::Rc;
 
@@ -16,8 +16,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::{
-    CreditWish, PeerHandler,
-    call_frame::{FRAME_HEAD, PREFACE},
+    CreditDemand, PeerHandler,
+    call_frame::{CALLS_PREFACE, FRAME_HEAD_BYTES},
     call_service::serve_calls,
     link_stream::{LinkReader, LinkWriter, link_stream},
 };
@@ -29,7 +29,7 @@
     metrics::ControlKind,
 };
 
-/// The interface as other nodes see it.
+/// Server of the Cap'n Proto interface that other nodes use.
 struct PeerServer<H> {
     handler: Rc<H>,
 }
@@ -53,7 +53,7 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let request = join_id(params.get_request_high(), params.get_request_low());
-        let token = self.handler.take_token(request, params.get_take_id());
+        let token = self.handler.acquire_token(request, params.get_take_id());
         results.get().set_answer(write_take_answer(token.answer));
         results.get().set_remaining(token.remaining);
         self.handler.context().count_received_request(
@@ -86,12 +86,12 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let news = read_quarantine_news(params.get_news()?)?;
-        let heard = news.wire_bytes() + WORD_BYTES;
-        let reply = self.handler.hear_quarantine(news, params.get_wants_all());
+        let received_bytes = news.wire_bytes() + WORD_BYTES;
+        let reply = self.handler.receive_quarantine(news, params.get_wants_all());
         write_quarantine_news(&reply, results.get().init_news());
         self.handler.context().count_received_request(
             ControlKind::Quarantine,
-            heard,
+            received_bytes,
             reply.wire_bytes(),
         );
         Ok(())
@@ -103,12 +103,12 @@
         mut results: peer::TakeCreditResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let asker = NodeId(
+        let requester = NodeId(
             read_address(params.get_asker()?).map_err(|err| Error::failed(err.to_string()))?,
         );
         let team = TeamName::new(params.get_team()?.to_str()?);
-        let wish = CreditWish { wanted: params.get_wanted(), used: params.get_used() };
-        let grant = self.handler.take_credit(asker, &team, wish);
+        let demand = CreditDemand { wanted: params.get_wanted(), used: params.get_used() };
+        let grant = self.handler.acquire_credit(requester, &team, demand);
         let mut answer = results.get();
         answer.set_is_owner(grant.is_some());
         if let Some(CreditGrant { granted, wait, share_milli }) = grant {
@@ -146,7 +146,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => serve_peer(stream, handler.clone()),
-            // Out of descriptors: closing connections frees some, so try again a little later.
+            // Out of file descriptors: closing connections frees some, so retry after a pause.
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
@@ -156,29 +156,30 @@
 const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
 
 fn serve_peer<H: PeerHandler + 'static>(stream: TcpStream, handler: Rc<H>) {
-    // Without it answers wait for the peer's delayed acknowledgement; a failure only costs time.
+    // Without `TCP_NODELAY`, replies wait for the peer's delayed acknowledgement; a failure to set it only adds
+    // latency.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = link_stream(stream);
     tokio::task::spawn_local(serve_link(reader, writer, handler));
 }
 
-/// Serves a connection for calls, or one for other questions, by what the peer sends first.
+/// Serves a connection for calls or one for other requests, depending on the first bytes that the peer sends.
 async fn serve_link<H: PeerHandler + 'static>(
     mut reader: LinkReader,
     writer: LinkWriter,
     handler: Rc<H>,
 ) {
-    let mut first = [0; FRAME_HEAD];
-    // A peer that goes before it has said anything wants nothing.
+    let mut first = [0; FRAME_HEAD_BYTES];
+    // The peer closed the connection before it sent a request.
     if reader.read_exact(&mut first).await.is_err() {
         return;
     }
-    if first == PREFACE {
+    if first == CALLS_PREFACE {
         return serve_calls(reader, writer, handler).await;
     }
     let reader = Cursor::new(first).chain(reader);
     let network = VatNetwork::new(reader, writer, Side::Server, Default::default());
     let server: peer::Client = capnp_rpc::new_client(PeerServer { handler });
-    // Its end is that of the connection, whatever the cause.
+    // The RPC system ends when the connection does, whatever the cause.
     let _ = RpcSystem::new(Box::new(network), Some(server.client)).await;
 }
--- a/crates/coltsfoot-node/src/dispatch/links/quarantine_desk.rs
+++ b/crates/coltsfoot-node/src/dispatch/links/quarantine_service.rs
@@ -1,4 +1,4 @@
-//! What this node knows of requests that end their upstreams, how it tells others, and how it outlasts them.
+//! Tracks requests that crash their upstreams, spreads that information to other nodes, and stores it.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -18,7 +18,7 @@
 use rand::seq::IteratorRandom as _;
 use tokio::time::timeout;
 
-use super::{PeerLinks, case_keeper::CaseKeeper};
+use super::{PeerLinks, case_store::CaseStore};
 use crate::{
     dispatch::context::{NodeContext, WORD_BYTES},
     gossip::GossipCommand,
@@ -26,67 +26,71 @@
     store::StoreHandle,
 };
 
-/// Nodes told at once by the guard that has seen an end: with it each node of a small deployment hears in one step.
+/// Number of nodes that the guard that has seen a crash notifies directly; enough to reach each node of a small
+/// deployment in one step.
 const FIRST_FANOUT: usize = 16;
-/// Nodes told by each that has heard something new. Four reach 98 in 100 nodes of any number within a few steps; the
-/// others see from the digest on gossip that they lack a case.
+/// Number of nodes that a node notifies when it has received new information. Four reach 98 % of the nodes of a
+/// deployment of any size within a few steps; the others see from the digest in gossip messages that they lack a case.
 const NEXT_FANOUT: usize = 4;
-/// Ends that a node tells of or passes on in a second: at 8.4 KB each they stay within the 4 KB/s of a node's control.
+/// Number of crashes per second that a node reports or forwards: at 8.4 KB each they stay within a node's budget of
+/// 4 KB/s for control traffic.
 const CRASHES_PER_S: f64 = 0.4;
-/// Ends that it does at once. More upstreams end together when a failure domain is lost, which no request has done; one
-/// that comes a few times a second ends that many in some ten seconds, and is known after three.
+/// Maximum burst of crashes that a node reports or forwards. More upstreams crash together when a failure domain
+/// is lost, which no request has caused. A request that arrives a few times per second crashes this many upstreams in
+/// about ten seconds, and is identified after three crashes.
 const CRASHES_BURST: f64 = 32.0;
-/// Longest wait for a node that is told or asked.
-const TELL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Requests that this node has suspected itself and whose cases it writes down.
-const MOST_OWN_SUSPECTS: usize = 1_024;
+/// Timeout of an exchange with another node.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of requests suspected by this node itself whose cases it writes to the table service.
+const MAX_OWN_SUSPECTS: usize = 1_024;
 
-/// What is held against a call.
+/// How a call that the quarantine holds back is treated.
 #[derive(Clone, Copy, Debug)]
 pub enum HeldCall {
-    /// It is not sent on; its caller may ask again after this time.
+    /// The call is not forwarded; its caller may retry after this time.
     Held(Duration),
-    /// The same, but for the one trial, which has to be claimed first.
+    /// The call is not forwarded unless this node claims the single trial of the request first.
     TrialDue(RequestFingerprint),
 }
 
-/// What became of an operator's word that a request is let go.
+/// Result of an operator's command to release a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LetGoResult {
-    /// It was not held back.
+pub enum ReleaseResult {
+    /// The request was not held back.
     NotHeld,
-    /// It is let go, and stays so whatever becomes of the nodes.
-    Kept,
-    /// It is let go here and told to others, and not written down yet: if all nodes start anew before the table service
-    /// answers it is held back again.
-    Unkept,
+    /// The request is released, and the release is stored, so it survives restarts of the nodes.
+    Stored,
+    /// The request is released here and other nodes are notified, but the release is not stored yet: if all nodes
+    /// restart before the table service answers, the request is held back again.
+    NotStored,
 }
 
-/// What this node knows of requests that end their upstreams, how it tells others, and how it outlasts them.
+/// Tracks requests that crash their upstreams, spreads that information to other nodes, and stores it.
 ///
-/// Ends of upstreams and cases go from node to node; cases also stand in the table service, so that nodes that all start
-/// anew still know them.
-pub struct QuarantineDesk {
+/// Crashes of upstreams and cases are forwarded from node to node; cases are also stored in the table service, so that
+/// they survive a restart of all nodes.
+pub struct QuarantineService {
     context: Rc<NodeContext>,
     links: Rc<PeerLinks>,
-    keeper: CaseKeeper,
+    case_store: CaseStore,
     register: RefCell<QuarantineRegister>,
-    /// Present members of the services that this node watches.
+    /// Alive or suspect members of the services that this node watches, without this node.
     peers: RefCell<IndexMap<ServiceName, Vec<NodeId>>>,
-    /// What this node's own upstream has ended with, the newest. Invariant: at most [`MOST_OWN_SUSPECTS`].
+    /// Requests that were in flight when this node's upstream crashed, and requests released here; oldest first.
+    /// Invariant: at most [`MAX_OWN_SUSPECTS`].
     own_suspects: RefCell<IndexSet<RequestFingerprint>>,
-    /// Ends that may be told of now.
+    /// Limits how many crashes are reported or forwarded.
     crash_budget: RefCell<TokenBucket>,
 }
 
-impl QuarantineDesk {
-    /// Nothing known yet.
+impl QuarantineService {
+    /// Creates a service without crashes or cases.
     pub fn new(context: Rc<NodeContext>, links: Rc<PeerLinks>, store: StoreHandle) -> Self {
-        let keeper = CaseKeeper::new(context.clone(), store);
+        let case_store = CaseStore::new(context.clone(), store);
         Self {
             context,
             links,
-            keeper,
+            case_store,
             register: RefCell::default(),
             peers: RefCell::default(),
             own_suspects: RefCell::default(),
@@ -94,8 +98,8 @@
         }
     }
 
-    /// What is held against a call, if anything; tells the journal if it may not be sent on. `fingerprint` is asked for only
-    /// while something is held back.
+    /// Returns how a call is held back; `None` if it may be forwarded. Emits an event if the call is refused.
+    /// `fingerprint` is evaluated only while there are cases.
     pub fn judge(
         &self,
         request: RequestId,
@@ -118,33 +122,33 @@
         }
     }
 
-    /// Asks for the one trial of a request that is held back; returns whether this node makes it.
+    /// Claims the single trial of a request that is held back; returns whether this node may run it.
     pub async fn claim_trial(&self, request: RequestId, fingerprint: RequestFingerprint) -> bool {
         let term = self.register.borrow().term(fingerprint);
-        // Others that come meanwhile are held back.
-        self.note_trial(fingerprint, TrialClaim::Unavailable);
-        let claim = self.keeper.claim_trial(fingerprint, term).await;
-        self.note_trial(fingerprint, claim);
-        let taken = claim == TrialClaim::Granted;
-        if taken {
+        // Other calls of this request that arrive during the claim are held back.
+        self.record_trial_claim(fingerprint, TrialClaim::Unavailable);
+        let claim = self.case_store.claim_trial(fingerprint, term).await;
+        self.record_trial_claim(fingerprint, claim);
+        let granted = claim == TrialClaim::Granted;
+        if granted {
             self.context.events.emit(EventKind::QuarantineTrial { request, fingerprint });
         }
-        taken
+        granted
     }
 
-    fn note_trial(&self, fingerprint: RequestFingerprint, claim: TrialClaim) {
+    fn record_trial_claim(&self, fingerprint: RequestFingerprint, claim: TrialClaim) {
         let now = self.context.now();
         self.register.borrow_mut().record_trial(now, fingerprint, claim);
     }
 
-    /// The upstream beside this node has ended with these requests under way.
+    /// Reports that this node's upstream has crashed while these requests were in flight.
     pub fn report(self: &Rc<Self>, crash: CrashId, suspects: Vec<RequestFingerprint>) {
         if suspects.is_empty() {
             return;
         }
         let mut own = self.own_suspects.borrow_mut();
         for suspect in &suspects {
-            if own.len() >= MOST_OWN_SUSPECTS {
+            if own.len() >= MAX_OWN_SUSPECTS {
                 own.shift_remove_index(0);
             }
             own.insert(*suspect);
@@ -152,10 +156,10 @@
         drop(own);
         let report = CrashReport { crash, age: Duration::ZERO, suspects };
         let news = QuarantineUpdate { crashes: vec![report], ..QuarantineUpdate::default() };
-        self.take_news(news, FIRST_FANOUT);
+        self.merge_news(news, FIRST_FANOUT);
     }
 
-    /// The upstream beside this node has answered a call. `fingerprint` is asked for only while something is suspected.
+    /// Notes that this node's upstream has answered a call. `fingerprint` is evaluated only while there are suspects.
     pub fn note_answer(self: &Rc<Self>, fingerprint: impl FnOnce() -> RequestFingerprint) {
         if !self.register.borrow().has_suspects() {
             return;
@@ -164,47 +168,50 @@
         let note = self.register.borrow_mut().record_answer(now, fingerprint());
         if let Some(note) = note {
             let answers = vec![note];
-            self.settle_changes();
-            self.tell(QuarantineUpdate { answers, ..QuarantineUpdate::default() }, FIRST_FANOUT);
+            self.publish_changes();
+            self.send_news(
+                QuarantineUpdate { answers, ..QuarantineUpdate::default() },
+                FIRST_FANOUT,
+            );
         }
     }
 
-    /// An operator lets a request go. Waits up to a bound until that is written down.
-    pub async fn let_go(self: &Rc<Self>, fingerprint: RequestFingerprint) -> LetGoResult {
+    /// Releases a request on behalf of an operator. Waits for a bounded time until the release is stored.
+    pub async fn release(self: &Rc<Self>, fingerprint: RequestFingerprint) -> ReleaseResult {
         let now = self.context.now();
         if !self.register.borrow_mut().release(now, fingerprint) {
-            return LetGoResult::NotHeld;
+            return ReleaseResult::NotHeld;
         }
         self.own_suspects.borrow_mut().insert(fingerprint);
-        self.settle_changes();
+        self.publish_changes();
         let cases = self.register.borrow().cases(now);
-        self.tell(QuarantineUpdate { cases, ..QuarantineUpdate::default() }, FIRST_FANOUT);
-        match self.keeper.await_written(fingerprint).await {
-            true => LetGoResult::Kept,
-            false => LetGoResult::Unkept,
+        self.send_news(QuarantineUpdate { cases, ..QuarantineUpdate::default() }, FIRST_FANOUT);
+        match self.case_store.await_written(fingerprint).await {
+            true => ReleaseResult::Stored,
+            false => ReleaseResult::NotStored,
         }
     }
 
-    /// All that is known.
+    /// Returns all crashes and cases known to this node.
     pub fn all(&self) -> QuarantineUpdate {
         self.register.borrow().all(self.context.now())
     }
 
-    /// Takes in what another node tells, and passes on what is new of it.
-    pub fn hear(self: &Rc<Self>, news: QuarantineUpdate) {
-        self.take_news(news, NEXT_FANOUT);
+    /// Merges an update from another node, and forwards what is new in it.
+    pub fn receive(self: &Rc<Self>, news: QuarantineUpdate) {
+        self.merge_news(news, NEXT_FANOUT);
     }
 
-    /// Asks `peer` for all that it knows: what it holds back differs from what this node does.
+    /// Requests all crashes and cases from `peer`, whose cases differ from those of this node.
     pub async fn pull(self: Rc<Self>, peer: NodeId) {
-        let nothing = QuarantineUpdate::default();
-        let asked = timeout(TELL_TIMEOUT, self.exchange(peer, &nothing, true)).await;
-        if let Ok(Some(news)) = asked {
-            self.hear(news);
+        let no_news = QuarantineUpdate::default();
+        let response = timeout(EXCHANGE_TIMEOUT, self.exchange(peer, &no_news, true)).await;
+        if let Ok(Some(news)) = response {
+            self.receive(news);
         }
     }
 
-    /// The members of a watched service.
+    /// Updates the members of a watched service.
     pub fn note_members(&self, service: &ServiceName, members: &[MemberRecord]) {
         let own = self.context.identity.node;
         let present = members.iter().filter(|member| {
@@ -214,22 +221,23 @@
         self.peers.borrow_mut().insert(service.clone(), nodes);
     }
 
-    /// Reads the cases that stand in the table service, then writes down those of this node as they come.
-    pub async fn keep_cases(self: Rc<Self>) {
-        let cases = self.keeper.read_cases().await;
-        self.hear(QuarantineUpdate { cases, ..QuarantineUpdate::default() });
-        self.keeper.write_cases().await;
+    /// Reads the cases stored in the table service, then writes those of this node as they arrive; never returns.
+    pub async fn sync_cases(self: Rc<Self>) {
+        let cases = self.case_store.read_cases().await;
+        self.receive(QuarantineUpdate { cases, ..QuarantineUpdate::default() });
+        self.case_store.write_cases().await;
     }
 
-    fn take_news(self: &Rc<Self>, news: QuarantineUpdate, fanout: usize) {
+    fn merge_news(self: &Rc<Self>, news: QuarantineUpdate, fanout: usize) {
         let now = self.context.now();
         let fresh = self.register.borrow_mut().merge(now, news);
-        self.settle_changes();
-        self.tell(fresh, fanout);
+        self.publish_changes();
+        self.send_news(fresh, fanout);
     }
 
-    /// Tells the journal, the metrics and the gossip duty of cases that changed, and notes those to write down.
-    fn settle_changes(self: &Rc<Self>) {
+    /// Publishes changed cases to the event journal, the metrics and the gossip duty, and queues this node's own for
+    /// writing.
+    fn publish_changes(self: &Rc<Self>) {
         let changes = self.register.borrow_mut().drain_changes();
         if changes.is_empty() {
             return;
@@ -244,7 +252,7 @@
                 crashes,
             });
             if self.own_suspects.borrow().contains(&fingerprint) {
-                self.keeper.write_down(fingerprint, term);
+                self.case_store.queue_write(fingerprint, term);
             }
         }
         let register = self.register.borrow();
@@ -258,7 +266,7 @@
         });
     }
 
-    fn tell(self: &Rc<Self>, mut news: QuarantineUpdate, fanout: usize) {
+    fn send_news(self: &Rc<Self>, mut news: QuarantineUpdate, fanout: usize) {
         let now = self.context.now();
         let mut budget = self.crash_budget.borrow_mut();
         news.crashes.retain(|_| budget.acquire(now, 0.0, Duration::ZERO).is_some());
@@ -267,13 +275,13 @@
             return;
         }
         let known: IndexSet<_> = self.peers.borrow().values().flatten().copied().collect();
-        let told = known.into_iter().sample(&mut *self.context.rng.borrow_mut(), fanout);
+        let recipients = known.into_iter().sample(&mut *self.context.rng.borrow_mut(), fanout);
         let news = Rc::new(news);
-        for peer in told {
-            let (desk, news) = (self.clone(), news.clone());
+        for peer in recipients {
+            let (service, news) = (self.clone(), news.clone());
             tokio::task::spawn_local(async move {
-                // One that can't be told hears from others, or sees by their digest that it lacks something.
-                let _ = timeout(TELL_TIMEOUT, desk.exchange(peer, &news, false)).await;
+                // A node that cannot be reached is notified by others, or sees from their digest that it lacks a case.
+                let _ = timeout(EXCHANGE_TIMEOUT, service.exchange(peer, &news, false)).await;
             });
         }
     }
--- a/crates/coltsfoot-node/tests/integration/util/load_loop.rs
+++ b/crates/coltsfoot-node/tests/integration/util/load_loop.rs
@@ -1,4 +1,4 @@
-//! Callers that go on calling until they are told to stop.
+//! Callers that send requests until they are stopped.
 
 use std::{
     net::SocketAddr,
@@ -16,18 +16,18 @@
 /// Replies to each key, in order.
 pub type KeyReplies = IndexMap<String, Vec<String>>;
 
-/// What the callers do.
+/// Load that the callers generate.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Nodes called in turn; a caller turns away from one that says that it leaves.
+    /// Nodes called in turn; a caller stops calling a node that announces its leave, unless it is the only one left.
     pub targets: Vec<SocketAddr>,
     pub call: PlannedCall,
     pub callers: usize,
-    /// How often a caller repeats a request under its key, at the next node, until it has an answer.
+    /// Maximum number of times a caller repeats a request under its key, at the next node, until it has an answer.
     pub repeats: usize,
 }
 
-/// Callers under way.
+/// Running callers.
 pub struct LoadLoop {
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<KeyReplies>>,
@@ -61,16 +61,16 @@
         let mut call = plan.call.clone();
         call.body = format!("body of {key}");
         call.headers.push(("idempotency-key".to_owned(), key.clone()));
-        let heard: &mut Vec<String> = replies.entry(key).or_default();
+        let received: &mut Vec<String> = replies.entry(key).or_default();
         for _ in 0..=plan.repeats {
             let target = targets[sent % targets.len()];
             let reply = call.make(target).await;
             if reply.ends_with(" leaving") && targets.len() > 1 {
                 targets.retain(|other| *other != target);
             }
-            heard.push(reply);
+            received.push(reply);
             sent += 1;
-            if heard.last().is_some_and(|text| text.starts_with("200")) {
+            if received.last().is_some_and(|text| text.starts_with("200")) {
                 break;
             }
         }
@@ -78,7 +78,7 @@
     replies
 }
 
-/// The kinds of replies, without connections refused by a node that has stopped: those are no requests.
+/// Returns the kinds of replies, without connections refused by a stopped node, which are not requests.
 pub fn kinds(replies: &KeyReplies) -> Vec<String> {
     let all: IndexSet<_> = replies.values().flatten().filter(|text| *text != "refused").collect();
     let mut kinds: Vec<_> = all.into_iter().map(|text| format!("some {text}")).collect();
@@ -86,11 +86,12 @@
     kinds
 }
 
-/// What the callers of an operation that must not be repeated were told, against the `runs` that were.
-pub fn falsehoods(replies: &KeyReplies, runs: impl Fn(&str) -> usize) -> Vec<String> {
-    let judge = |(key, heard): (&String, &Vec<String>)| {
-        let nothing_ran = heard.iter().all(|text| text == "refused" || text.contains(" not-run "));
-        let has_answer = heard.iter().any(|text| text.starts_with("200"));
+/// Returns replies that contradict the actual number of `runs` of an operation that must not be repeated.
+pub fn false_reports(replies: &KeyReplies, runs: impl Fn(&str) -> usize) -> Vec<String> {
+    let judge = |(key, received): (&String, &Vec<String>)| {
+        let nothing_ran =
+            received.iter().all(|text| text == "refused" || text.contains(" not-run "));
+        let has_answer = received.iter().any(|text| text.starts_with("200"));
         let verdict = match runs(key) {
             0 if has_answer => "answered without a run",
             0 => return None,
@@ -98,7 +99,7 @@
             1 => return None,
             _ => "RAN TWICE",
         };
-        Some(format!("{key} {verdict}: {heard:?}"))
+        Some(format!("{key} {verdict}: {received:?}"))
     };
     replies.iter().filter_map(judge).collect()
 }
