--- a/crates/coltsfoot-node/src/config.rs
+++ b/crates/coltsfoot-node/src/config.rs
@@ -1,7 +1,6 @@
 //! The configuration duty: submissions, the revision in force, its spread.
 
 mod accepted_config;
-mod config_book;
 mod config_cell;
 mod config_command;
 mod config_error;
@@ -12,7 +11,8 @@
 mod config_replies;
 mod config_thread;
 mod freshness_cell;
-mod submit_desk;
+mod revision_tracker;
+mod submission_handler;
 mod submit_request;
 
 pub use accepted_config::AcceptedConfig;
@@ -23,5 +23,5 @@
 pub use config_in_force::ConfigInForce;
 pub use config_origin::ConfigOrigin;
 pub use config_thread::{ConfigParts, ConfigThread};
-pub use freshness_cell::{FreshnessCell, proof_time};
+pub use freshness_cell::{FreshnessCell, max_proof_age};
 pub use submit_request::SubmitRequest;
--- a/crates/coltsfoot-node/src/config/config_command.rs
+++ b/crates/coltsfoot-node/src/config/config_command.rs
@@ -16,7 +16,7 @@
     /// An operator asks who changed what, and when.
     History(oneshot::Sender<HttpReply>),
     /// A peer has a higher revision in force.
-    Behind {
+    PeerAhead {
         /// The peer.
         peer: NodeId,
         /// Its revision.
@@ -27,6 +27,6 @@
         /// The configuration.
         accepted: Box<AcceptedConfig>,
         /// When it was told.
-        told: Instant,
+        notified_at: Instant,
     },
 }
--- a/crates/coltsfoot-node/src/config/config_handle.rs
+++ b/crates/coltsfoot-node/src/config/config_handle.rs
@@ -25,44 +25,44 @@
 
     /// Submits a schema.
     pub async fn submit(&self, request: SubmitRequest, body: Bytes) -> HttpReply {
-        self.ask(|reply| ConfigCommand::Submit(request, body, reply)).await
+        self.request(|reply| ConfigCommand::Submit(request, body, reply)).await
     }
 
     /// The schema in force.
     pub async fn show(&self) -> HttpReply {
-        self.ask(ConfigCommand::Show).await
+        self.request(ConfigCommand::Show).await
     }
 
     /// Who changed what, and when.
     pub async fn history(&self) -> HttpReply {
-        self.ask(ConfigCommand::History).await
+        self.request(ConfigCommand::History).await
     }
 
     /// Tells the duty that a peer is ahead. Dropped when the ring is full: the peer will say it again.
-    pub fn behind(&self, peer: NodeId, revision: Revision) {
-        let _ = self.commands.try_send(ConfigCommand::Behind { peer, revision });
+    pub fn report_peer_ahead(&self, peer: NodeId, revision: Revision) {
+        let _ = self.commands.try_send(ConfigCommand::PeerAhead { peer, revision });
     }
 
     /// Tells the duty of a configuration that another system has accepted; waits while the ring is full.
     pub async fn accept(&self, accepted: AcceptedConfig) {
-        let (accepted, told) = (Box::new(accepted), Instant::now());
+        let (accepted, notified_at) = (Box::new(accepted), Instant::now());
         // A closed ring means that the process stops.
-        let _ = self.commands.send(ConfigCommand::Accepted { accepted, told }).await;
+        let _ = self.commands.send(ConfigCommand::Accepted { accepted, notified_at }).await;
     }
 
-    async fn ask(
+    async fn request(
         &self,
         command: impl FnOnce(oneshot::Sender<HttpReply>) -> ConfigCommand,
     ) -> HttpReply {
         let (sender, receiver) = oneshot::channel();
         if self.commands.send(command(sender)).await.is_err() {
-            return stopping();
+            return stopping_reply();
         }
-        receiver.await.unwrap_or_else(|_| stopping())
+        receiver.await.unwrap_or_else(|_| stopping_reply())
     }
 }
 
-fn stopping() -> HttpReply {
+fn stopping_reply() -> HttpReply {
     let body = serde_json::json!({ "message": "the node is stopping" });
     HttpReply::json(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
--- a/crates/coltsfoot-node/src/config/config_origin.rs
+++ b/crates/coltsfoot-node/src/config/config_origin.rs
@@ -8,5 +8,5 @@
     Submitted,
     /// Another system, which keeps their history; nodes are told of each by
     /// [`ConfigCommand::Accepted`](super::ConfigCommand::Accepted).
-    Outside,
+    External,
 }
--- a/crates/coltsfoot-node/src/config/config_pulls.rs
+++ b/crates/coltsfoot-node/src/config/config_pulls.rs
@@ -23,7 +23,7 @@
     /// The revision since which the peer was asked for changes.
     pub(super) since: Revision,
     /// When the peer was asked first; asked again for all, the time stays.
-    pub(super) told: Instant,
+    pub(super) requested_at: Instant,
     /// What it sent, encoded; `None`: it did not answer.
     pub(super) encoded: Option<Vec<u8>>,
 }
@@ -33,7 +33,7 @@
 /// Questions to peers for what changed, some at once: one that does not answer holds up nobody.
 pub(super) struct ConfigPulls {
     plan: PullPlan,
-    open: FuturesUnordered<PullFuture>,
+    in_flight: FuturesUnordered<PullFuture>,
     dispatch: DispatchHandle,
     clock: MonotonicClock,
 }
@@ -41,25 +41,25 @@
 impl ConfigPulls {
     /// No question is open.
     pub(super) fn new(dispatch: DispatchHandle, clock: MonotonicClock) -> Self {
-        Self { plan: PullPlan::new(), open: FuturesUnordered::new(), dispatch, clock }
+        Self { plan: PullPlan::new(), in_flight: FuturesUnordered::new(), dispatch, clock }
     }
 
     /// `peer` has told that it has `revision` in force.
-    pub(super) fn hear(&mut self, peer: NodeId, revision: Revision) {
+    pub(super) fn record_revision(&mut self, peer: NodeId, revision: Revision) {
         self.plan.record_revision(peer, revision);
     }
 
     /// Asks those who are due, where `held` is held.
-    pub(super) fn ask_due(&mut self, held: Revision) {
+    pub(super) fn pull_due_peers(&mut self, held: Revision) {
         while let Some(peer) = self.plan.next_peer(self.clock.now(), held) {
-            self.open_question(peer, held, Instant::now());
+            self.start_pull(peer, held, Instant::now());
         }
     }
 
     /// Asks `peer` in any case for what changed after `since`, unless it is being asked.
-    pub(super) fn ask(&mut self, peer: NodeId, since: Revision, told: Instant) {
+    pub(super) fn pull_from(&mut self, peer: NodeId, since: Revision, requested_at: Instant) {
         if self.plan.record_request(self.clock.now(), peer) {
-            self.open_question(peer, since, told);
+            self.start_pull(peer, since, requested_at);
         }
     }
 
@@ -73,7 +73,7 @@
             }
         };
         let ended = async {
-            match self.open.next().await {
+            match self.in_flight.next().await {
                 Some(pull) => pull,
                 None => pending().await,
             }
@@ -86,12 +86,12 @@
         Some(pull)
     }
 
-    fn open_question(&mut self, peer: NodeId, since: Revision, told: Instant) {
+    fn start_pull(&mut self, peer: NodeId, since: Revision, requested_at: Instant) {
         let dispatch = self.dispatch.clone();
-        self.open.push(Box::pin(async move {
+        self.in_flight.push(Box::pin(async move {
             let (reply, receiver) = oneshot::channel();
             dispatch.tell(DispatchCommand::PullConfig { peer, since: since.0, reply }).await;
-            FinishedPull { peer, since, told, encoded: receiver.await.ok().flatten() }
+            FinishedPull { peer, since, requested_at, encoded: receiver.await.ok().flatten() }
         }));
     }
 }
--- a/crates/coltsfoot-node/src/config/config_thread.rs
+++ b/crates/coltsfoot-node/src/config/config_thread.rs
@@ -17,10 +17,10 @@
 
 use super::{
     ConfigCell, ConfigCommand, ConfigHandle, ConfigOrigin, FreshnessCell,
-    config_book::ConfigBook,
     config_pulls::{ConfigPulls, FinishedPull},
     config_replies,
-    submit_desk::{FinishedErrand, SubmitDesk},
+    revision_tracker::RevisionTracker,
+    submission_handler::{FinishedTask, SubmissionHandler},
 };
 use crate::{
     clock::MonotonicClock,
@@ -32,11 +32,11 @@
 };
 
 /// Commands that wait at most.
-const COMMAND_RING: usize = 64;
+const COMMAND_CAPACITY: usize = 64;
 /// Pause between attempts to learn the first configuration.
 const FIRST_READ_PERIOD: Duration = Duration::from_secs(1);
 /// Where keys are to be revoked within a bound, the head is read so many times within it.
-const READS_IN_BOUND: u32 = 4;
+const READS_PER_BOUND: u32 = 4;
 
 /// What the configuration duty is made of.
 pub struct ConfigParts {
@@ -69,16 +69,16 @@
 /// The thread of the configuration duty.
 pub struct ConfigThread {
     parts: ConfigParts,
-    book: ConfigBook,
+    tracker: RevisionTracker,
     pulls: ConfigPulls,
     /// Waits on the store that must not hold up what comes from peers.
-    errands: FuturesUnordered<Pin<Box<dyn Future<Output = FinishedErrand> + Send>>>,
+    store_tasks: FuturesUnordered<Pin<Box<dyn Future<Output = FinishedTask> + Send>>>,
 }
 
 impl ConfigThread {
     /// The ring to the duty.
     pub fn ring() -> (ConfigHandle, mpsc::Receiver<ConfigCommand>) {
-        let (sender, receiver) = mpsc::channel(COMMAND_RING);
+        let (sender, receiver) = mpsc::channel(COMMAND_CAPACITY);
         (ConfigHandle::new(sender), receiver)
     }
 
@@ -89,9 +89,9 @@
     /// If the runtime or the thread cannot be created.
     pub fn start(parts: ConfigParts, commands: mpsc::Receiver<ConfigCommand>) -> io::Result<()> {
         let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
-        let book = ConfigBook::new(parts.node, &parts.peers, parts.origin);
+        let tracker = RevisionTracker::new(parts.node, &parts.peers, parts.origin);
         let pulls = ConfigPulls::new(parts.dispatch.clone(), parts.clock);
-        let duty = Self { parts, book, pulls, errands: FuturesUnordered::new() };
+        let duty = Self { parts, tracker, pulls, store_tasks: FuturesUnordered::new() };
         thread::Builder::new()
             .name("config".to_owned())
             .spawn(move || runtime.block_on(duty.run(commands)))?;
@@ -103,63 +103,65 @@
         let mut meter = DutyMeter::new(self.parts.metrics.clone(), NodeDuty::Config);
         let mut reports = interval(DutyMeter::IDLE_PERIOD);
         loop {
-            self.pulls.ask_due(self.book.held());
+            self.pulls.pull_due_peers(self.tracker.held());
             tokio::select! {
                 command = commands.recv() => match command {
-                    Some(command) => self.obey(command).await,
+                    Some(command) => self.handle_command(command).await,
                     None => return,
                 },
-                Some(errand) = self.errands.next(), if !self.errands.is_empty() => {
-                    self.settle(errand).await;
+                Some(task) = self.store_tasks.next(), if !self.store_tasks.is_empty() => {
+                    self.finish_task(task).await;
                 }
                 pull = self.pulls.next() => if let Some(pull) = pull {
-                    self.settle_pull(pull).await;
+                    self.finish_pull(pull).await;
                 },
                 _ = reports.tick() => meter.report(),
                 () = sleep_until(next_read) => {
-                    self.learn().await;
-                    next_read = Instant::now() + self.pause();
+                    self.read_newest().await;
+                    next_read = Instant::now() + self.read_pause();
                 }
             }
         }
     }
 
     /// Pause until the newest revision is read again.
-    fn pause(&self) -> Duration {
+    fn read_pause(&self) -> Duration {
         let Some(config) = self.parts.cell.load() else { return FIRST_READ_PERIOD };
-        let pause = draw_head_interval(self.parts.freshness.nodes(), &mut rand::rng());
+        let pause = draw_head_interval(self.parts.freshness.node_count(), &mut rand::rng());
         match self.parts.revoke_within {
-            Some(bound) if !config.teams().is_empty() => pause.min(bound / READS_IN_BOUND),
+            Some(bound) if !config.teams().is_empty() => pause.min(bound / READS_PER_BOUND),
             _ => pause,
         }
     }
 
-    async fn obey(&mut self, command: ConfigCommand) {
+    async fn handle_command(&mut self, command: ConfigCommand) {
         match command {
-            ConfigCommand::Submit(_, _, reply) if self.parts.origin == ConfigOrigin::Outside => {
+            ConfigCommand::Submit(_, _, reply) if self.parts.origin == ConfigOrigin::External => {
                 // The asker may have gone away; nothing is owed to it then.
                 let _ = reply.send(config_replies::accepted_elsewhere());
             }
-            ConfigCommand::Accepted { accepted, told } => {
-                self.hear_accepted(&accepted.record, &accepted.document, told).await;
+            ConfigCommand::Accepted { accepted, notified_at } => {
+                self.apply_accepted(&accepted.record, &accepted.document, notified_at).await;
             }
             ConfigCommand::Submit(request, body, reply) => {
-                self.errands.push(Box::pin(self.desk().submit(request, body, reply)));
+                self.store_tasks.push(Box::pin(self.handler().submit(request, body, reply)));
             }
             ConfigCommand::Show(reply) => {
                 // The asker may have gone away; nothing is owed to it then.
                 let _ = reply.send(config_replies::schema(self.parts.cell.load().as_deref()));
             }
             ConfigCommand::History(reply) => {
-                let recent = self.book.recent();
-                self.errands.push(Box::pin(self.desk().history(recent, reply)));
+                let recent = self.tracker.recent();
+                self.store_tasks.push(Box::pin(self.handler().history(recent, reply)));
+            }
+            ConfigCommand::PeerAhead { peer, revision } => {
+                self.pulls.record_revision(peer, revision)
             }
-            ConfigCommand::Behind { peer, revision } => self.pulls.hear(peer, revision),
         }
     }
 
     /// Learns the newest configuration: from the store, and before the first one from peers as well.
-    async fn learn(&mut self) {
+    async fn read_newest(&mut self) {
         if self.parts.origin == ConfigOrigin::Submitted {
             self.read_head().await;
         }
@@ -167,16 +169,16 @@
             return;
         }
         for peer in &self.parts.peers {
-            self.pulls.ask(*peer, self.book.held(), Instant::now());
+            self.pulls.pull_from(*peer, self.tracker.held(), Instant::now());
         }
     }
 
     async fn read_head(&mut self) {
-        let asked = self.parts.clock.now();
-        let mut reader = HeadReader::new().with_held_chain(self.book.held_chain());
+        let requested_at = self.parts.clock.now();
+        let mut reader = HeadReader::new().with_held_chain(self.tracker.held_chain());
         let mut request = reader.start();
         let newest = loop {
-            let reply = self.desk().ask_store(request).await;
+            let reply = self.handler().request_store(request).await;
             match reader.handle_reply(&reply) {
                 ReaderStep::Send(next) => request = next,
                 ReaderStep::Done(newest) => break newest,
@@ -188,64 +190,64 @@
             }
         };
         let newest = newest.as_ref().map(|row| (&row.record, &row.document));
-        let revision = newest.map_or(self.book.held(), |(record, _)| record.revision);
-        self.hear_store(newest, Instant::now()).await;
-        self.parts.freshness.note_own(asked, revision);
+        let revision = newest.map_or(self.tracker.held(), |(record, _)| record.revision);
+        self.apply_store_row(newest, Instant::now()).await;
+        self.parts.freshness.record_local_read(requested_at, revision);
     }
 
-    async fn hear_accepted(
+    async fn apply_accepted(
         &mut self,
         record: &RevisionRecord,
         document: &SchemaDocument,
-        told: Instant,
+        notified_at: Instant,
     ) {
-        let newer = (record.revision > self.book.held()).then_some((record, document));
-        self.hear_store(newer, told).await;
+        let newer = (record.revision > self.tracker.held()).then_some((record, document));
+        self.apply_store_row(newer, notified_at).await;
     }
 
-    async fn hear_store(
+    async fn apply_store_row(
         &mut self,
         newest: Option<(&RevisionRecord, &SchemaDocument)>,
-        told: Instant,
+        notified_at: Instant,
     ) {
-        if let Err(fault) = self.book.hear_store(newest) {
+        if let Err(fault) = self.tracker.apply_store_row(newest) {
             log::error!("event=configuration-refused source=store error={:?}", fault.to_string());
         }
-        self.put_in_force(None, told).await;
+        self.put_in_force(None, notified_at).await;
     }
 
-    fn desk(&self) -> SubmitDesk {
-        SubmitDesk::new(self.parts.store.clone(), self.parts.events.clone())
+    fn handler(&self) -> SubmissionHandler {
+        SubmissionHandler::new(self.parts.store.clone(), self.parts.events.clone())
     }
 
-    /// Puts in force what the book holds, if it is newer and may be used; it came from the peer `from` or else from the
-    /// store, and was told of at `told`.
-    async fn put_in_force(&mut self, from: Option<NodeId>, told: Instant) {
-        let Some(config) = self.book.take_newer() else { return };
+    /// Puts in force what the tracker holds, if it is newer and may be used; it came from the peer `from` or else from the
+    /// store, and was told of at `notified_at`.
+    async fn put_in_force(&mut self, from: Option<NodeId>, notified_at: Instant) {
+        let Some(config) = self.tracker.take_newer_config() else { return };
         let revision = config.revision();
         self.parts.cell.store(config.clone());
-        self.parts.freshness.hold(Revision(revision));
-        self.parts.events.emit(self.book.in_force_event(from, told.elapsed()));
+        self.parts.freshness.set_revision(Revision(revision));
+        self.parts.events.emit(self.tracker.in_force_event(from, notified_at.elapsed()));
         self.parts.dispatch.tell(DispatchCommand::Configure(config)).await;
         // A closed ring means that the process stops.
         let _ = self.parts.gossip.send(GossipCommand::SetRevision(revision)).await;
     }
 
     /// Takes in what a peer sent. Where it does not fit what is held, the peer is asked for all.
-    async fn settle_pull(&mut self, pull: FinishedPull) {
-        let FinishedPull { peer, since, told, encoded } = pull;
+    async fn finish_pull(&mut self, pull: FinishedPull) {
+        let FinishedPull { peer, since, requested_at, encoded } = pull;
         let Some(encoded) = encoded else {
-            self.book.give_up(peer);
-            return self.put_in_force(None, told).await;
+            self.tracker.stop_awaiting_peer(peer);
+            return self.put_in_force(None, requested_at).await;
         };
-        if !self.take_delta(peer, &encoded) && since > Revision::ZERO {
-            self.pulls.ask(peer, Revision::ZERO, told);
+        if !self.apply_delta(peer, &encoded) && since > Revision::ZERO {
+            self.pulls.pull_from(peer, Revision::ZERO, requested_at);
         }
-        self.put_in_force(Some(peer), told).await;
+        self.put_in_force(Some(peer), requested_at).await;
     }
 
     /// Whether the delta was taken in, or there was none.
-    fn take_delta(&mut self, peer: NodeId, encoded: &[u8]) -> bool {
+    fn apply_delta(&mut self, peer: NodeId, encoded: &[u8]) -> bool {
         let delta = match encoded.is_empty() {
             true => None,
             false => match serde_json::from_slice::<ConfigDelta>(encoded) {
@@ -256,7 +258,7 @@
                 }
             },
         };
-        match self.book.hear_peer(peer, delta.as_ref()) {
+        match self.tracker.apply_peer_delta(peer, delta.as_ref()) {
             Ok(()) => true,
             Err(fault) => {
                 log::warn!("event=delta-refused peer={peer} error={:?}", fault.to_string());
@@ -265,17 +267,17 @@
         }
     }
 
-    /// Takes in what an errand brought, then answers its asker.
-    async fn settle(&mut self, errand: FinishedErrand) {
-        if let Some(accepted) = &errand.accepted {
+    /// Takes in what a task brought, then answers its asker.
+    async fn finish_task(&mut self, task: FinishedTask) {
+        if let Some(accepted) = &task.accepted {
             let newest = Some((&accepted.record, &accepted.document));
-            if let Err(fault) = self.book.hear_store(newest) {
+            if let Err(fault) = self.tracker.apply_store_row(newest) {
                 // The next read of the head brings what was accepted.
                 log::warn!("event=configuration-refused source=own error={:?}", fault.to_string());
             }
             self.put_in_force(None, Instant::now()).await;
         }
         // The asker may have gone away; nothing is owed to it then.
-        let _ = errand.reply.send(errand.answer);
+        let _ = task.reply.send(task.answer);
     }
 }
--- a/crates/coltsfoot-node/src/config/config_book.rs
+++ b/crates/coltsfoot-node/src/config/revision_tracker.rs
@@ -21,17 +21,17 @@
 /// What the configuration duty holds.
 ///
 /// Invariant: the state never goes to a lower revision; nothing is handed out before the gate is open.
-pub struct ConfigBook {
+pub struct RevisionTracker {
     node: NodeId,
     state: ConfigState,
     gate: StartGate,
     recent: RecentHistory,
-    handed_out: Revision,
-    /// In force before `handed_out`.
+    published: Revision,
+    /// In force before `published`.
     previous: Revision,
 }
 
-impl ConfigBook {
+impl RevisionTracker {
     /// An empty book; `peers` are asked before the node may take work while the store is down.
     pub fn new(node: NodeId, peers: &[NodeId], origin: ConfigOrigin) -> Self {
         let mut gate = StartGate::new();
@@ -40,11 +40,11 @@
         }
         let state = match origin {
             ConfigOrigin::Submitted => ConfigState::new(),
-            ConfigOrigin::Outside => ConfigState::with_external_history(),
+            ConfigOrigin::External => ConfigState::with_external_history(),
         };
         let recent = RecentHistory::new(RECENT_REVISIONS);
-        let (handed_out, previous) = (Revision::ZERO, Revision::ZERO);
-        Self { node, state, gate, recent, handed_out, previous }
+        let (published, previous) = (Revision::ZERO, Revision::ZERO);
+        Self { node, state, gate, recent, published, previous }
     }
 
     /// Revision held, which may not be in force yet.
@@ -62,21 +62,21 @@
     /// # Errors
     ///
     /// [`DeltaFault`] if the delta does not fit; nothing is changed then.
-    pub fn hear_peer(
+    pub fn apply_peer_delta(
         &mut self,
         peer: NodeId,
         delta: Option<&ConfigDelta>,
     ) -> Result<(), DeltaFault> {
-        let told = delta.map_or(Revision::ZERO, ConfigDelta::to);
-        self.gate.record_peer_revision(peer, told);
+        let peer_revision = delta.map_or(Revision::ZERO, ConfigDelta::to);
+        self.gate.record_peer_revision(peer, peer_revision);
         let Some(delta) = delta else { return Ok(()) };
         let applied = self.state.apply_delta(delta)?;
-        self.note(&applied, &delta.record);
+        self.record_applied(&applied, &delta.record);
         Ok(())
     }
 
     /// A peer did not answer.
-    pub fn give_up(&mut self, peer: NodeId) {
+    pub fn stop_awaiting_peer(&mut self, peer: NodeId) {
         self.gate.stop_awaiting(peer);
     }
 
@@ -85,7 +85,7 @@
     /// # Errors
     ///
     /// [`DeltaFault`] if the document does not match its record; nothing is changed then.
-    pub fn hear_store(
+    pub fn apply_store_row(
         &mut self,
         newest: Option<(&RevisionRecord, &SchemaDocument)>,
     ) -> Result<(), DeltaFault> {
@@ -95,11 +95,11 @@
         };
         self.gate.record_store_revision(record.revision);
         let applied = self.state.apply_document(record, document)?;
-        self.note(&applied, record);
+        self.record_applied(&applied, record);
         Ok(())
     }
 
-    fn note(&mut self, applied: &ApplyOutcome, record: &RevisionRecord) {
+    fn record_applied(&mut self, applied: &ApplyOutcome, record: &RevisionRecord) {
         if let ApplyOutcome::Advanced { revision, .. } = applied {
             self.recent.push(record.clone());
             self.recent.note_in_force(InForceRecord {
@@ -112,12 +112,12 @@
     }
 
     /// The configuration to put in force now, if there is a newer one and the node may use it.
-    pub fn take_newer(&mut self) -> Option<Arc<ConfigInForce>> {
+    pub fn take_newer_config(&mut self) -> Option<Arc<ConfigInForce>> {
         let held = self.held();
-        if held <= self.handed_out || !self.gate.try_open(held) {
+        if held <= self.published || !self.gate.try_open(held) {
             return None;
         }
-        self.previous = std::mem::replace(&mut self.handed_out, held);
+        self.previous = std::mem::replace(&mut self.published, held);
         Some(Arc::new(ConfigInForce::new(self.state.clone(), route_seed(self.node))))
     }
 
@@ -126,7 +126,7 @@
     pub fn in_force_event(&self, from: Option<NodeId>, waited: Duration) -> EventKind {
         let previous = (self.previous > Revision::ZERO).then_some(self.previous.0);
         let waited_ms = u64::try_from(waited.as_millis()).unwrap_or(u64::MAX);
-        EventKind::RevisionInForce { revision: self.handed_out.0, previous, from, waited_ms }
+        EventKind::RevisionInForce { revision: self.published.0, previous, from, waited_ms }
     }
 
     /// The recent history as this node saw it.
--- a/crates/coltsfoot-node/src/config/submit_desk.rs
+++ b/crates/coltsfoot-node/src/config/submission_handler.rs
@@ -18,7 +18,7 @@
 use crate::{clock::wall_millis, http::HttpReply, journal::EventSender, store::StoreHandle};
 
 /// Time one request to the table service may take.
-const STORE_DEADLINE: Duration = Duration::from_secs(2);
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a step is sent again.
 const RESEND_PAUSE: Duration = Duration::from_millis(200);
 /// Revisions that one answer of the history holds at most.
@@ -33,7 +33,7 @@
 }
 
 /// An errand that has ended, to be taken in before its asker is answered.
-pub struct FinishedErrand {
+pub struct FinishedTask {
     /// What was accepted, if anything.
     pub accepted: Option<AcceptedRevision>,
     /// The answer.
@@ -43,20 +43,20 @@
 }
 
 /// Carries submissions through.
-pub struct SubmitDesk {
+pub struct SubmissionHandler {
     store: StoreHandle,
     events: EventSender,
 }
 
-impl SubmitDesk {
+impl SubmissionHandler {
     /// A desk that works on the table service behind `store`.
     pub fn new(store: StoreHandle, events: EventSender) -> Self {
         Self { store, events }
     }
 
     /// Asks the table service.
-    pub async fn ask_store(&self, request: TableRequest) -> TableReply {
-        self.store.request(request, STORE_DEADLINE, StoreUse::Config).await
+    pub async fn request_store(&self, request: TableRequest) -> TableReply {
+        self.store.request(request, STORE_TIMEOUT, StoreUse::Config).await
     }
 
     /// Carries a submission through until its result is known.
@@ -65,17 +65,17 @@
         request: SubmitRequest,
         body: Bytes,
         reply: oneshot::Sender<HttpReply>,
-    ) -> FinishedErrand {
-        match self.drive(request, &body).await {
+    ) -> FinishedTask {
+        match self.run_submission(request, &body).await {
             Ok(accepted) => {
                 let answer = config_replies::accepted(&accepted.record);
-                FinishedErrand { accepted: Some(accepted), answer, reply }
+                FinishedTask { accepted: Some(accepted), answer, reply }
             }
-            Err(answer) => FinishedErrand { accepted: None, answer, reply },
+            Err(answer) => FinishedTask { accepted: None, answer, reply },
         }
     }
 
-    async fn drive(
+    async fn run_submission(
         &self,
         request: SubmitRequest,
         body: &[u8],
@@ -92,7 +92,7 @@
                 }
                 SubmissionStep::Done(result) => break result,
             };
-            step = submission.handle_reply(self.ask_store(request).await);
+            step = submission.handle_reply(self.request_store(request).await);
         };
         match result {
             SubmissionResult::Accepted(record) => {
@@ -109,16 +109,16 @@
         self,
         recent: Vec<HistoryRecord>,
         reply: oneshot::Sender<HttpReply>,
-    ) -> FinishedErrand {
+    ) -> FinishedTask {
         let answer = self.read_history(recent).await;
-        FinishedErrand { accepted: None, answer, reply }
+        FinishedTask { accepted: None, answer, reply }
     }
 
     async fn read_history(&self, recent: Vec<HistoryRecord>) -> HttpReply {
         let mut reader = HistoryReader::new(Revision::ZERO, HISTORY_LIMIT);
         let mut request = reader.start();
         loop {
-            let reply = self.ask_store(request).await;
+            let reply = self.request_store(request).await;
             match reader.handle_reply(&reply) {
                 ReaderStep::Send(next) => request = next,
                 ReaderStep::Done(records) => return config_replies::history(&records),
--- a/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
+++ b/crates/coltsfoot-node/src/dispatch/dispatch_duty.rs
@@ -23,7 +23,7 @@
         PeerLinks, QuarantineDesk, TokenAnswer,
     },
 };
-use crate::config::proof_time;
+use crate::config::max_proof_age;
 
 /// The parts of the dispatch duty. Each knows only those above it here.
 pub(super) struct DispatchDuty {
@@ -47,7 +47,7 @@
             repeat_guard: parts.repeat_guard,
             config: parts.config,
             freshness: parts.freshness,
-            proof_time: parts.revoke_within.map(proof_time),
+            proof_time: parts.revoke_within.map(max_proof_age),
             gossip: parts.gossip,
             metrics: parts.metrics,
             events: parts.events,
--- a/crates/coltsfoot-node/src/gossip/gossip_thread.rs
+++ b/crates/coltsfoot-node/src/gossip/gossip_thread.rs
@@ -147,7 +147,7 @@
 
     fn count_members(&self) {
         let status = self.engine.status();
-        self.freshness.note_nodes(status.alive);
+        self.freshness.set_node_count(status.alive);
         let counts = [
             (MemberLabel::Up, status.alive),
             (MemberLabel::Suspect, status.suspect),
@@ -172,7 +172,8 @@
         match decode(datagram) {
             Ok(message) => {
                 if let Some(at) = message.confirmed {
-                    self.freshness.note(RevisionProof { revision: Revision(message.revision), at });
+                    self.freshness
+                        .record_proof(RevisionProof { revision: Revision(message.revision), at });
                 }
                 self.engine.receive(self.clock.now(), &mut self.rng, from, message)
             }
@@ -237,7 +238,7 @@
                     changed.insert(service);
                 }
                 GossipEffect::RevisionBehind { peer, revision } => {
-                    self.config.behind(peer, Revision(revision));
+                    self.config.report_peer_ahead(peer, Revision(revision));
                 }
                 GossipEffect::QuarantineDiffers { peer } => {
                     self.dispatch.tell(DispatchCommand::PullQuarantine(peer)).await;
@@ -275,7 +276,7 @@
     }
 
     async fn send(&self, to: NodeId, message: GossipMessage) {
-        let confirmed = self.freshness.told(Revision(message.revision));
+        let confirmed = self.freshness.proof_time_for(Revision(message.revision));
         match encode(&GossipMessage { confirmed, ..message }) {
             Ok(datagram) => {
                 self.count_datagram(TrafficDirection::Sent, datagram.len());
--- a/crates/coltsfoot-node/tests/integration/config_duty.rs
+++ b/crates/coltsfoot-node/tests/integration/config_duty.rs
@@ -42,7 +42,7 @@
 impl DutyFixture {
     /// A duty that has revision 1 in force, which another system has accepted.
     async fn new() -> Self {
-        let fixture = Self::start(&StoreFixture::new(), ConfigOrigin::Outside);
+        let fixture = Self::start(&StoreFixture::new(), ConfigOrigin::External);
         fixture.handle.accept(accepted(1)).await;
         fixture.await_revision(1).await;
         fixture
@@ -127,7 +127,7 @@
 #[tokio::test]
 async fn what_the_store_tells_is_in_force_while_a_peer_does_not_answer() {
     let mut duty = DutyFixture::new().await;
-    duty.handle.behind(peer(2), Revision(5));
+    duty.handle.report_peer_ahead(peer(2), Revision(5));
     let open = duty.next_pull().await;
 
     duty.handle.accept(accepted(5)).await;
@@ -154,10 +154,10 @@
 #[tokio::test]
 async fn another_peer_is_asked_while_the_first_does_not_answer() {
     let mut duty = DutyFixture::new().await;
-    duty.handle.behind(peer(2), Revision(5));
+    duty.handle.report_peer_ahead(peer(2), Revision(5));
     let first = duty.next_pull().await;
 
-    duty.handle.behind(peer(3), Revision(5));
+    duty.handle.report_peer_ahead(peer(3), Revision(5));
 
     let second = duty.next_pull().await;
     assert_eq!([first.peer, second.peer], [peer(2), peer(3)]);
