--- a/crates/coltsfoot-node/src/config.rs
+++ b/crates/coltsfoot-node/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration duty: submissions, the revision in force, its spread.
+//! The configuration duty: handles submissions, keeps the revision in force and distributes it.
 
 mod accepted_config;
 mod config_cell;
--- a/crates/coltsfoot-node/src/config/accepted_config.rs
+++ b/crates/coltsfoot-node/src/config/accepted_config.rs
@@ -1,4 +1,4 @@
-//! A configuration that another system has accepted.
+//! Configurations accepted by a system other than the nodes.
 
 use coltsfootroute::{
     name::OperatorName,
@@ -6,17 +6,17 @@
     schema::SchemaDocument,
 };
 
-/// A configuration that another system has accepted.
+/// A configuration accepted by a system other than the nodes.
 #[derive(Clone, Debug)]
 pub struct AcceptedConfig {
     /// Record of the revision.
     pub record: RevisionRecord,
-    /// The configuration.
+    /// Schema of the revision.
     pub document: SchemaDocument,
 }
 
 impl AcceptedConfig {
-    /// `document` as `operator` had it accepted at `revision`.
+    /// Creates a configuration from `document`, which `operator` submitted and another system accepted as `revision`.
     pub fn new(revision: Revision, operator: OperatorName, document: SchemaDocument) -> Self {
         let content = ContentDigest::of_document(&document);
         Self { record: RevisionRecord::of_external(revision, content, operator), document }
--- a/crates/coltsfoot-node/src/config/config_cell.rs
+++ b/crates/coltsfoot-node/src/config/config_cell.rs
@@ -1,4 +1,4 @@
-//! Where the configuration in force stands for all threads to read.
+//! Shared cell that holds the configuration in force for all threads.
 
 use std::sync::Arc;
 
@@ -7,28 +7,28 @@
 
 use super::ConfigInForce;
 
-/// The configuration in force; written by the configuration duty alone.
+/// Shared reference to the configuration in force; only the configuration duty writes it.
 #[derive(Clone, Default)]
 pub struct ConfigCell {
     current: Arc<ArcSwapOption<ConfigInForce>>,
 }
 
 impl ConfigCell {
-    /// The configuration in force, `None` before the first.
+    /// Returns the configuration in force; `None` before the first.
     pub fn load(&self) -> Option<Arc<ConfigInForce>> {
         self.current.load_full()
     }
 
-    /// The configuration in force, for a call that needs one.
+    /// Returns the configuration in force, for a call that cannot proceed without one.
     ///
     /// # Errors
     ///
-    /// [`RefusalReason::NoConfiguration`] before the first.
+    /// [`RefusalReason::NoConfiguration`] before the first configuration is in force.
     pub fn in_force(&self) -> Result<Arc<ConfigInForce>, RefusalReason> {
         self.load().ok_or(RefusalReason::NoConfiguration)
     }
 
-    /// Puts a configuration in force. A lower revision than the present one is never put.
+    /// Puts `config` in force. Its revision must be higher than the current one.
     pub(super) fn store(&self, config: Arc<ConfigInForce>) {
         debug_assert!(self.load().is_none_or(|current| current.revision() < config.revision()));
         self.current.store(Some(config));
--- a/crates/coltsfoot-node/src/config/config_command.rs
+++ b/crates/coltsfoot-node/src/config/config_command.rs
@@ -1,4 +1,4 @@
-//! What the other duties ask of the configuration duty.
+//! Commands to the configuration duty.
 
 use bytes::Bytes;
 use coltsfootroute::{id::NodeId, revision::Revision};
@@ -7,26 +7,26 @@
 use super::{AcceptedConfig, SubmitRequest};
 use crate::http::HttpReply;
 
-/// What the other duties ask of the configuration duty.
+/// Command from another duty to the configuration duty.
 pub enum ConfigCommand {
     /// An operator submits a schema.
     Submit(SubmitRequest, Bytes, oneshot::Sender<HttpReply>),
-    /// An operator asks for the schema in force.
+    /// An operator requests the schema in force.
     Show(oneshot::Sender<HttpReply>),
-    /// An operator asks who changed what, and when.
+    /// An operator requests the history of revisions.
     History(oneshot::Sender<HttpReply>),
-    /// A peer has a higher revision in force.
+    /// A peer has a higher revision in force than this node.
     PeerAhead {
         /// The peer.
         peer: NodeId,
-        /// Its revision.
+        /// Revision in force at the peer.
         revision: Revision,
     },
-    /// Another system has accepted a configuration, or still has this one in force.
+    /// Another system has accepted a configuration, or has confirmed that this one is still in force.
     Accepted {
         /// The configuration.
         accepted: Box<AcceptedConfig>,
-        /// When it was told.
+        /// Time at which this node was notified.
         notified_at: Instant,
     },
 }
--- a/crates/coltsfoot-node/src/config/config_error.rs
+++ b/crates/coltsfoot-node/src/config/config_error.rs
@@ -1,17 +1,17 @@
-//! Errors of a submission's headers.
+//! Errors in the headers of a submission.
 
 use crate::http::RequestError;
 
-/// A header of a submission is absent or malformed.
+/// Error for a header of a submission that is absent or malformed.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmitHeaderError {
-    /// A header that a submission needs is not there.
+    /// A required header is absent.
     #[error("header `{0}` is required")]
     Absent(&'static str),
-    /// `if-match` holds no revision.
+    /// `if-match` is not a revision.
     #[error("header `if-match` is `{0}`: expected the revision that the submission builds on")]
     NotARevision(String),
-    /// A header is not text, or repeated.
+    /// A header is not text, or occurs more than once.
     #[error(transparent)]
     Malformed(#[from] RequestError),
 }
--- a/crates/coltsfoot-node/src/config/config_handle.rs
+++ b/crates/coltsfoot-node/src/config/config_handle.rs
@@ -1,4 +1,4 @@
-//! The way to the configuration duty for the other threads.
+//! Handle through which other threads send commands to the configuration duty.
 
 use bytes::Bytes;
 use coltsfootroute::{id::NodeId, revision::Revision};
@@ -11,42 +11,43 @@
 use super::{AcceptedConfig, ConfigCommand, SubmitRequest};
 use crate::http::HttpReply;
 
-/// Sends commands to the configuration duty over a bounded ring.
+/// Sends commands to the configuration duty over a bounded channel.
 #[derive(Clone)]
 pub struct ConfigHandle {
     commands: mpsc::Sender<ConfigCommand>,
 }
 
 impl ConfigHandle {
-    /// A handle that sends to `commands`.
+    /// Creates a handle that sends to `commands`.
     pub fn new(commands: mpsc::Sender<ConfigCommand>) -> Self {
         Self { commands }
     }
 
-    /// Submits a schema.
+    /// Submits a schema and waits for the reply to the operator.
     pub async fn submit(&self, request: SubmitRequest, body: Bytes) -> HttpReply {
         self.request(|reply| ConfigCommand::Submit(request, body, reply)).await
     }
 
-    /// The schema in force.
+    /// Returns the reply with the schema in force.
     pub async fn show(&self) -> HttpReply {
         self.request(ConfigCommand::Show).await
     }
 
-    /// Who changed what, and when.
+    /// Returns the reply with the history of revisions: who changed the schema, and when.
     pub async fn history(&self) -> HttpReply {
         self.request(ConfigCommand::History).await
     }
 
-    /// Tells the duty that a peer is ahead. Dropped when the ring is full: the peer will say it again.
+    /// Reports that `peer` has the higher `revision` in force. The report is dropped if the channel is full: the
+    /// peer will repeat it.
     pub fn report_peer_ahead(&self, peer: NodeId, revision: Revision) {
         let _ = self.commands.try_send(ConfigCommand::PeerAhead { peer, revision });
     }
 
-    /// Tells the duty of a configuration that another system has accepted; waits while the ring is full.
+    /// Passes on a configuration that another system has accepted; waits while the channel is full.
     pub async fn accept(&self, accepted: AcceptedConfig) {
         let (accepted, notified_at) = (Box::new(accepted), Instant::now());
-        // A closed ring means that the process stops.
+        // The channel is closed only when the process is stopping.
         let _ = self.commands.send(ConfigCommand::Accepted { accepted, notified_at }).await;
     }
 
--- a/crates/coltsfoot-node/src/config/config_in_force.rs
+++ b/crates/coltsfoot-node/src/config/config_in_force.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, as the other duties read it.
+//! Read-only view of the configuration in force.
 
 use std::sync::{Arc, Mutex};
 
@@ -13,7 +13,7 @@
 
 type ReachableServices = IndexMap<ServiceName, IndexMap<OperationName, Arc<[ServiceName]>>>;
 
-/// The configuration in force, as the other duties read it. A change makes a new one.
+/// Immutable configuration in force, read by the other duties. Each new revision is a new instance.
 #[derive(Debug)]
 pub struct ConfigInForce {
     state: ConfigState,
@@ -21,12 +21,12 @@
     routes: RouteTable,
     teams: TeamTable,
     ranks: RequestRanks,
-    /// Worked out when an operation is first called: most nodes take in few of all operations.
+    /// Cache filled when an operation is first called: most nodes receive calls for only a few of all operations.
     reachable: Mutex<ReachableServices>,
 }
 
 impl ConfigInForce {
-    /// What `state` holds; `seed` is the node's, for the turns of weighted routes.
+    /// Creates the view of `state`. `seed` is specific to the node and sets where its weighted routes start.
     pub fn new(state: ConfigState, seed: u64) -> Self {
         let document = state.document();
         let routes = RouteTable::new(&document, seed);
@@ -35,32 +35,32 @@
         Self { state, document, routes, teams, ranks, reachable: Mutex::default() }
     }
 
-    /// Importance of requests by team and operation.
+    /// Returns the importance of requests by team and operation.
     pub fn ranks(&self) -> &RequestRanks {
         &self.ranks
     }
 
-    /// Teams by their keys.
+    /// Returns the teams by their keys.
     pub fn teams(&self) -> &TeamTable {
         &self.teams
     }
 
-    /// Operations by host and path.
+    /// Returns the operations by host and path.
     pub fn routes(&self) -> &RouteTable {
         &self.routes
     }
 
-    /// Revision, 1 for the first.
+    /// Returns the revision; the first is 1.
     pub fn revision(&self) -> u64 {
         self.state.revision().0
     }
 
-    /// The schema.
+    /// Returns the schema.
     pub fn document(&self) -> &SchemaDocument {
         &self.document
     }
 
-    /// An operation as declared.
+    /// Returns the declaration of an operation.
     ///
     /// # Errors
     ///
@@ -74,33 +74,34 @@
         entry.ok_or(RefusalReason::UnknownOperation)
     }
 
-    /// How long the records of a service's non-repeatable requests are kept, in seconds.
+    /// Returns how long the records of a service's non-repeatable requests are kept, in seconds; `None` if the schema
+    /// declares no such service.
     pub fn retention_s(&self, service: &ServiceName) -> Option<u64> {
         self.state.service(service).map(|entry| entry.retention_s)
     }
 
-    /// Number of services.
+    /// Returns the number of services.
     pub fn service_count(&self) -> usize {
         self.document.services.len()
     }
 
-    /// Names of all services.
+    /// Returns the names of all services.
     pub fn services(&self) -> Vec<ServiceName> {
         self.document.services.iter().map(|service| service.name.clone()).collect()
     }
 
-    /// Services that the operations of `service` call.
+    /// Returns the services that the operations of `service` call.
     pub fn callees(&self, service: &ServiceName) -> Vec<ServiceName> {
         self.document.called_services(service).into_iter().collect()
     }
 
-    /// Services that a run of the operation reaches, itself included.
+    /// Returns the services that a run of the operation can reach through nested calls, including `service` itself.
     pub fn reachable(
         &self,
         service: &ServiceName,
         operation: &OperationName,
     ) -> Arc<[ServiceName]> {
-        // A poisoned lock guards a cache whose entries are whole or absent.
+        // A poisoned lock is safe to use: cache entries are either complete or absent.
         let mut cache = self.reachable.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if let Some(services) = cache.get(service).and_then(|entry| entry.get(operation)) {
             return services.clone();
@@ -112,11 +113,11 @@
         services
     }
 
-    /// What changed since `revision`, for a peer that is behind; empty if nothing did.
+    /// Encodes the changes since `revision` as JSON, for a peer whose revision is lower; empty if nothing has changed.
     ///
     /// # Errors
     ///
-    /// Only if serialization fails.
+    /// [`serde_json::Error`] if serialization fails.
     pub fn encode_since(&self, revision: u64) -> Result<Vec<u8>, serde_json::Error> {
         match self.state.delta_since(Revision(revision)) {
             Some(delta) => serde_json::to_vec(&delta),
--- a/crates/coltsfoot-node/src/config/config_origin.rs
+++ b/crates/coltsfoot-node/src/config/config_origin.rs
@@ -1,12 +1,12 @@
-//! Who accepts configurations.
+//! Origin of configurations.
 
-/// Who accepts configurations.
+/// System that accepts configurations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConfigOrigin {
-    /// Operators submit them to the nodes, which write them to the table service.
+    /// The nodes: operators submit configurations to them, and they write these to the table service.
     #[default]
     Submitted,
-    /// Another system, which keeps their history; nodes are told of each by
+    /// Another system, which keeps the history; a node is notified of each configuration by
     /// [`ConfigCommand::Accepted`](super::ConfigCommand::Accepted).
     External,
 }
--- a/crates/coltsfoot-node/src/config/config_pulls.rs
+++ b/crates/coltsfoot-node/src/config/config_pulls.rs
@@ -1,4 +1,4 @@
-//! Questions to peers for what changed, beside the duty's own loop.
+//! Requests to peers for configuration changes, run concurrently with the duty's own loop.
 
 use std::{future::pending, pin::Pin};
 
@@ -17,20 +17,20 @@
     dispatch::{DispatchCommand, DispatchHandle},
 };
 
-/// A question to a peer that has ended.
+/// A finished request to a peer for configuration changes.
 pub(super) struct FinishedPull {
     pub(super) peer: NodeId,
-    /// The revision since which the peer was asked for changes.
+    /// Revision since which changes were requested.
     pub(super) since: Revision,
-    /// When the peer was asked first; asked again for all, the time stays.
+    /// Time of the first request to the peer; a repeated request for the whole configuration keeps it.
     pub(super) requested_at: Instant,
-    /// What it sent, encoded; `None`: it did not answer.
+    /// Encoded reply; `None` if the peer did not answer.
     pub(super) encoded: Option<Vec<u8>>,
 }
 
 type PullFuture = Pin<Box<dyn Future<Output = FinishedPull> + Send>>;
 
-/// Questions to peers for what changed, some at once: one that does not answer holds up nobody.
+/// Concurrent requests to peers for configuration changes; a peer that does not answer does not delay the others.
 pub(super) struct ConfigPulls {
     plan: PullPlan,
     in_flight: FuturesUnordered<PullFuture>,
@@ -39,31 +39,31 @@
 }
 
 impl ConfigPulls {
-    /// No question is open.
+    /// Creates a set of pulls with no request in flight.
     pub(super) fn new(dispatch: DispatchHandle, clock: MonotonicClock) -> Self {
         Self { plan: PullPlan::new(), in_flight: FuturesUnordered::new(), dispatch, clock }
     }
 
-    /// `peer` has told that it has `revision` in force.
+    /// Records that `peer` has `revision` in force.
     pub(super) fn record_revision(&mut self, peer: NodeId, revision: Revision) {
         self.plan.record_revision(peer, revision);
     }
 
-    /// Asks those who are due, where `held` is held.
+    /// Requests the changes since `held`, the revision held here, from each peer that is due.
     pub(super) fn pull_due_peers(&mut self, held: Revision) {
         while let Some(peer) = self.plan.next_peer(self.clock.now(), held) {
             self.start_pull(peer, held, Instant::now());
         }
     }
 
-    /// Asks `peer` in any case for what changed after `since`, unless it is being asked.
+    /// Requests the changes since `since` from `peer`, even if it is not due, unless a request to it is in flight.
     pub(super) fn pull_from(&mut self, peer: NodeId, since: Revision, requested_at: Instant) {
         if self.plan.record_request(self.clock.now(), peer) {
             self.start_pull(peer, since, requested_at);
         }
     }
 
-    /// The next question that ends; `None` when another peer is due.
+    /// Waits for the next request to finish; returns `None` when another peer is due first.
     pub(super) async fn next(&mut self) -> Option<FinishedPull> {
         let due = self.plan.next_hedge_at().map(|due| self.clock.instant_at(due));
         let hedge = async {
@@ -72,14 +72,14 @@
                 None => pending().await,
             }
         };
-        let ended = async {
+        let finished = async {
             match self.in_flight.next().await {
                 Some(pull) => pull,
                 None => pending().await,
             }
         };
         let pull = tokio::select! {
-            pull = ended => pull,
+            pull = finished => pull,
             () = hedge => return None,
         };
         self.plan.record_completion(pull.peer);
--- a/crates/coltsfoot-node/src/config/config_replies.rs
+++ b/crates/coltsfoot-node/src/config/config_replies.rs
@@ -1,4 +1,4 @@
-//! Replies to operators about configuration.
+//! HTTP replies to operators about configurations.
 
 use coltsfootroute::{
     revision::{ConflictBody, FailureBody, RevisionRecord, SubmissionResult},
@@ -10,9 +10,9 @@
 use crate::http::HttpReply;
 
 /// Media type of a schema.
-const YAML: &str = "application/yaml";
+const SCHEMA_MEDIA_TYPE: &str = "application/yaml";
 
-/// The schema in force.
+/// Reply with the schema in force; status 404 if `config` is `None`.
 pub fn schema(config: Option<&ConfigInForce>) -> HttpReply {
     let Some(config) = config else {
         return with_status(StatusCode::NOT_FOUND, "no configuration is in force", false);
@@ -23,24 +23,24 @@
             return with_status(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string(), false);
         }
     };
-    let reply = HttpReply::new(StatusCode::OK, YAML, text);
+    let reply = HttpReply::new(StatusCode::OK, SCHEMA_MEDIA_TYPE, text);
     match HeaderValue::from_str(&format!("\"{}\"", config.revision())) {
         Ok(tag) => reply.with_header(ETAG, tag),
         Err(_) => reply,
     }
 }
 
-/// A submission that was accepted, now or before.
+/// Reply to a submission that has been accepted, now or by an earlier request.
 pub fn accepted(record: &RevisionRecord) -> HttpReply {
     HttpReply::json(StatusCode::OK, record)
 }
 
-/// A submission whose content is faulty.
+/// Reply to a submission whose schema is invalid.
 pub fn faulty(errors: &SchemaErrors) -> HttpReply {
     HttpReply::json(StatusCode::UNPROCESSABLE_ENTITY, errors)
 }
 
-/// A submission that was not accepted.
+/// Reply to a submission that was not accepted; an accepted `result` gives the reply of [`accepted`].
 pub fn refused(result: SubmissionResult) -> HttpReply {
     match result {
         SubmissionResult::Conflict { current, diff } => {
@@ -66,17 +66,17 @@
     }
 }
 
-/// Revisions, oldest first.
+/// Reply with the given revisions, oldest first.
 pub fn history(records: &[RevisionRecord]) -> HttpReply {
     HttpReply::json(StatusCode::OK, &records)
 }
 
-/// A request that cannot be served.
+/// Reply to a request that cannot be served, with status 400.
 pub fn failure(reason: &str, may_take_effect: bool) -> HttpReply {
     with_status(StatusCode::BAD_REQUEST, reason, may_take_effect)
 }
 
-/// A submission where another system accepts configurations.
+/// Reply to a submission on a node whose configurations another system accepts.
 pub fn accepted_elsewhere() -> HttpReply {
     with_status(StatusCode::FORBIDDEN, "another system accepts the configurations", false)
 }
--- a/crates/coltsfoot-node/src/config/config_thread.rs
+++ b/crates/coltsfoot-node/src/config/config_thread.rs
@@ -31,36 +31,36 @@
     store::StoreHandle,
 };
 
-/// Commands that wait at most.
-const COMMAND_CAPACITY: usize = 64;
-/// Pause between attempts to learn the first configuration.
+/// Maximum number of commands waiting in the channel.
+const MAX_WAITING_COMMANDS: usize = 64;
+/// Pause between attempts to read the first configuration.
 const FIRST_READ_PERIOD: Duration = Duration::from_secs(1);
-/// Where keys are to be revoked within a bound, the head is read so many times within it.
+/// Minimum number of reads of the newest revision within the time bound for revoking keys, if there is one.
 const READS_PER_BOUND: u32 = 4;
 
-/// What the configuration duty is made of.
+/// Parts from which the configuration duty is built.
 pub struct ConfigParts {
-    /// Who accepts configurations.
+    /// System that accepts configurations.
     pub origin: ConfigOrigin,
-    /// The node.
+    /// Id of the node.
     pub node: NodeId,
-    /// Peers of the settings, asked at the start.
+    /// Peers named in the settings, queried at the start.
     pub peers: Vec<NodeId>,
-    /// Where the configuration in force stands.
+    /// Cell that holds the configuration in force.
     pub cell: ConfigCell,
-    /// The newest proof that the configuration in force is the newest.
+    /// Latest proof that the configuration in force is the newest revision.
     pub freshness: FreshnessCell,
     /// Clock of the process.
     pub clock: MonotonicClock,
-    /// Time after which a key that was taken away runs nothing; `None`: no proof is needed.
+    /// Time after which a revoked key must no longer run anything; `None` if no proof of freshness is needed.
     pub revoke_within: Option<Duration>,
-    /// The platform's table service.
+    /// Handle of the platform's table service.
     pub store: StoreHandle,
-    /// The dispatch duty.
+    /// Handle of the dispatch duty.
     pub dispatch: DispatchHandle,
-    /// Commands to the gossip duty.
+    /// Channel to the gossip duty.
     pub gossip: mpsc::Sender<GossipCommand>,
-    /// Events of the node.
+    /// Sender of the node's events.
     pub events: EventSender,
     /// Metrics of the node.
     pub metrics: Arc<NodeMetrics>,
@@ -71,22 +71,22 @@
     parts: ConfigParts,
     tracker: RevisionTracker,
     pulls: ConfigPulls,
-    /// Waits on the store that must not hold up what comes from peers.
+    /// Requests to the store, run concurrently so that they do not delay changes from peers.
     store_tasks: FuturesUnordered<Pin<Box<dyn Future<Output = FinishedTask> + Send>>>,
 }
 
 impl ConfigThread {
-    /// The ring to the duty.
+    /// Creates the bounded command channel to the duty.
     pub fn ring() -> (ConfigHandle, mpsc::Receiver<ConfigCommand>) {
-        let (sender, receiver) = mpsc::channel(COMMAND_CAPACITY);
+        let (sender, receiver) = mpsc::channel(MAX_WAITING_COMMANDS);
         (ConfigHandle::new(sender), receiver)
     }
 
-    /// Starts the thread; it ends with the process.
+    /// Starts the thread, which runs until the process exits.
     ///
     /// # Errors
     ///
-    /// If the runtime or the thread cannot be created.
+    /// [`io::Error`] if the runtime or the thread cannot be created.
     pub fn start(parts: ConfigParts, commands: mpsc::Receiver<ConfigCommand>) -> io::Result<()> {
         let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
         let tracker = RevisionTracker::new(parts.node, &parts.peers, parts.origin);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Pause until the newest revision is read again.
+    /// Returns the pause before the newest revision is read again.
     fn read_pause(&self) -> Duration {
         let Some(config) = self.parts.cell.load() else { return FIRST_READ_PERIOD };
         let pause = draw_head_interval(self.parts.freshness.node_count(), &mut rand::rng());
@@ -137,7 +137,7 @@
     async fn handle_command(&mut self, command: ConfigCommand) {
         match command {
             ConfigCommand::Submit(_, _, reply) if self.parts.origin == ConfigOrigin::External => {
-                // The asker may have gone away; nothing is owed to it then.
+                // Fails only if the requester has gone away and needs no reply.
                 let _ = reply.send(config_replies::accepted_elsewhere());
             }
             ConfigCommand::Accepted { accepted, notified_at } => {
@@ -147,7 +147,7 @@
                 self.store_tasks.push(Box::pin(self.handler().submit(request, body, reply)));
             }
             ConfigCommand::Show(reply) => {
-                // The asker may have gone away; nothing is owed to it then.
+                // Fails only if the requester has gone away and needs no reply.
                 let _ = reply.send(config_replies::schema(self.parts.cell.load().as_deref()));
             }
             ConfigCommand::History(reply) => {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Learns the newest configuration: from the store, and before the first one from peers as well.
+    /// Reads the newest configuration from the store; until the first one is in force, also requests it from the peers.
     async fn read_newest(&mut self) {
         if self.parts.origin == ConfigOrigin::Submitted {
             self.read_head().await;
@@ -220,8 +220,8 @@
         SubmissionHandler::new(self.parts.store.clone(), self.parts.events.clone())
     }
 
-    /// Puts in force what the tracker holds, if it is newer and may be used; it came from the peer `from` or else from the
-    /// store, and was told of at `notified_at`.
+    /// Puts the tracker's configuration in force if it is newer and the start gate is open. `from` is the peer that
+    /// sent it, `None` if it came from the store; `notified_at` is when this node was notified of it or requested it.
     async fn put_in_force(&mut self, from: Option<NodeId>, notified_at: Instant) {
         let Some(config) = self.tracker.take_newer_config() else { return };
         let revision = config.revision();
@@ -229,11 +229,11 @@
         self.parts.freshness.set_revision(Revision(revision));
         self.parts.events.emit(self.tracker.in_force_event(from, notified_at.elapsed()));
         self.parts.dispatch.tell(DispatchCommand::Configure(config)).await;
-        // A closed ring means that the process stops.
+        // The channel is closed only when the process is stopping.
         let _ = self.parts.gossip.send(GossipCommand::SetRevision(revision)).await;
     }
 
-    /// Takes in what a peer sent. Where it does not fit what is held, the peer is asked for all.
+    /// Applies the reply of a peer. If its delta does not apply to the state held, requests the whole configuration.
     async fn finish_pull(&mut self, pull: FinishedPull) {
         let FinishedPull { peer, since, requested_at, encoded } = pull;
         let Some(encoded) = encoded else {
@@ -246,7 +246,7 @@
         self.put_in_force(Some(peer), requested_at).await;
     }
 
-    /// Whether the delta was taken in, or there was none.
+    /// Returns whether the delta was applied or the reply was empty.
     fn apply_delta(&mut self, peer: NodeId, encoded: &[u8]) -> bool {
         let delta = match encoded.is_empty() {
             true => None,
@@ -267,17 +267,17 @@
         }
     }
 
-    /// Takes in what a task brought, then answers its asker.
+    /// Puts in force what a finished task had accepted, if anything, then replies to its requester.
     async fn finish_task(&mut self, task: FinishedTask) {
         if let Some(accepted) = &task.accepted {
             let newest = Some((&accepted.record, &accepted.document));
             if let Err(fault) = self.tracker.apply_store_row(newest) {
-                // The next read of the head brings what was accepted.
+                // The next read of the newest revision retrieves the accepted configuration.
                 log::warn!("event=configuration-refused source=own error={:?}", fault.to_string());
             }
             self.put_in_force(None, Instant::now()).await;
         }
-        // The asker may have gone away; nothing is owed to it then.
+        // Fails only if the requester has gone away and needs no reply.
         let _ = task.reply.send(task.answer);
     }
 }
--- a/crates/coltsfoot-node/src/config/freshness_cell.rs
+++ b/crates/coltsfoot-node/src/config/freshness_cell.rs
@@ -1,4 +1,4 @@
-//! The newest proof that the configuration in force is the newest, for all threads.
+//! Shared cell with the latest proof that the configuration in force is the newest revision.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -11,70 +11,72 @@
     time::MonotonicTime,
 };
 
-/// Part of the time to revoke a key that a proof may be old. The rest is for clocks and for what the store's answer was held
-/// up in the store itself, before the time in it was read.
+/// Maximum age of a proof as a fraction (numerator, denominator) of the time bound for revoking a key. The rest allows
+/// for clock error and for the delay of an answer inside the store before the store reads the time for it.
 const PROOF_AGE_SHARE: (u32, u32) = (4, 5);
 
-/// Age beyond which a proof is too old where keys are to be revoked within `bound`.
+/// Returns the maximum age of a proof if keys must be revoked within `bound`.
 pub fn max_proof_age(bound: Duration) -> Duration {
     bound * PROOF_AGE_SHARE.0 / PROOF_AGE_SHARE.1
 }
 
-/// The newest proof that the configuration in force is the newest, for all threads. Held for some instructions at a time.
+/// Latest proof that the configuration in force is the newest revision, shared by all threads. Its lock is held only
+/// for a few instructions at a time.
 #[derive(Clone, Default)]
 pub struct FreshnessCell {
     freshness: Arc<Mutex<ConfigFreshness>>,
 }
 
 impl FreshnessCell {
-    /// Takes in what the store answered to a question asked at `requested_at`.
+    /// Records the store's proof from the answer to a request sent at `requested_at`.
     pub fn record_store_proof(&self, requested_at: MonotonicTime, proof: RevisionProof) {
         self.lock().record_store_proof(requested_at, proof);
     }
 
-    /// Takes in that this node has itself found `revision` to be the newest after `requested_at`.
+    /// Records that a read of the store, begun by this node at `requested_at`, found `revision` to be the newest.
     pub fn record_local_read(&self, requested_at: MonotonicTime, revision: Revision) {
         self.lock().record_local_read(requested_at, revision);
     }
 
-    /// Takes in a proof of another node.
+    /// Records a proof received from another node.
     pub fn record_proof(&self, proof: RevisionProof) {
         self.lock().record_proof(proof);
     }
 
-    /// How long ago the configuration in force may last have been the newest; `None` without any proof. Ask before the
-    /// configuration is read: one that is put in force in between is newer than what is proved.
+    /// Returns how long ago the configuration in force was last proved to be the newest; `None` without any proof. Call
+    /// this before reading the configuration: one put in force in between is newer than the proof.
     pub fn age(&self, now: MonotonicTime) -> Option<Duration> {
         self.lock().age(now)
     }
 
-    /// The store's time of the newest proof, for others that hold `revision` or a later one.
+    /// Returns the store's time of the latest proof, for nodes that hold `revision` or a later one; `None` if the proof
+    /// is for a newer revision, or there is none.
     pub fn proof_time_for(&self, revision: Revision) -> Option<StoreTime> {
         self.lock().proof_time_for(revision)
     }
 
-    /// So many nodes are known.
+    /// Sets the number of nodes known to this one.
     pub fn set_node_count(&self, nodes: usize) {
         self.lock().set_node_count(nodes);
     }
 
-    /// Nodes that this one knows of.
+    /// Returns the number of nodes known to this one.
     pub fn node_count(&self) -> usize {
         self.lock().node_count()
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> Revision {
         self.lock().revision()
     }
 
-    /// A revision is in force from now on.
+    /// Sets the revision in force.
     pub(super) fn set_revision(&self, revision: Revision) {
         self.lock().set_revision(revision);
     }
 
     fn lock(&self) -> MutexGuard<'_, ConfigFreshness> {
-        // Each change leaves it whole.
+        // A poisoned lock is safe to use: each change leaves the value consistent.
         self.freshness.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
--- a/crates/coltsfoot-node/src/config/revision_tracker.rs
+++ b/crates/coltsfoot-node/src/config/revision_tracker.rs
@@ -1,4 +1,4 @@
-//! What the configuration duty holds: the state, when it may be used, the recent history.
+//! Tracks the configuration held by a node, whether it may be put in force, and the recent revisions.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,24 +15,26 @@
 use super::{ConfigInForce, ConfigOrigin};
 use crate::clock::wall_millis;
 
-/// Revisions remembered for peers and operators.
-const RECENT_REVISIONS: usize = 256;
+/// Maximum number of revisions kept for peers and operators.
+const MAX_RECENT_REVISIONS: usize = 256;
 
-/// What the configuration duty holds.
+/// Configuration state of the node, with its start gate and recent history.
 ///
-/// Invariant: the state never goes to a lower revision; nothing is handed out before the gate is open.
+/// Invariant: the revision held never decreases, and no configuration is published before the start gate is open.
 pub struct RevisionTracker {
     node: NodeId,
     state: ConfigState,
     gate: StartGate,
     recent: RecentHistory,
+    /// Revision last returned by `take_newer_config`; `Revision::ZERO` before the first.
     published: Revision,
-    /// In force before `published`.
+    /// Revision in force before `published`; `Revision::ZERO` if there was none.
     previous: Revision,
 }
 
 impl RevisionTracker {
-    /// An empty book; `peers` are asked before the node may take work while the store is down.
+    /// Creates a tracker without a configuration. While the store is down, the start gate waits for `peers` before the
+    /// node may accept work.
     pub fn new(node: NodeId, peers: &[NodeId], origin: ConfigOrigin) -> Self {
         let mut gate = StartGate::new();
         for peer in peers {
@@ -42,26 +44,26 @@
             ConfigOrigin::Submitted => ConfigState::new(),
             ConfigOrigin::External => ConfigState::with_external_history(),
         };
-        let recent = RecentHistory::new(RECENT_REVISIONS);
+        let recent = RecentHistory::new(MAX_RECENT_REVISIONS);
         let (published, previous) = (Revision::ZERO, Revision::ZERO);
         Self { node, state, gate, recent, published, previous }
     }
 
-    /// Revision held, which may not be in force yet.
+    /// Returns the revision held, which may not be in force yet.
     pub fn held(&self) -> Revision {
         self.state.revision()
     }
 
-    /// Chain digest of the revision held.
+    /// Returns the chain digest of the revision held; `None` if no revision is held.
     pub fn held_chain(&self) -> Option<ChainDigest> {
         self.state.record().map(|record| record.chain)
     }
 
-    /// Takes in what a peer sent; an empty answer says that it holds nothing newer.
+    /// Applies the delta sent by `peer`; `None` means that the peer holds no newer revision.
     ///
     /// # Errors
     ///
-    /// [`DeltaFault`] if the delta does not fit; nothing is changed then.
+    /// [`DeltaFault`] if the delta does not apply to the state held, which then stays unchanged.
     pub fn apply_peer_delta(
         &mut self,
         peer: NodeId,
@@ -75,16 +77,17 @@
         Ok(())
     }
 
-    /// A peer did not answer.
+    /// Makes the start gate stop waiting for `peer`, which did not answer.
     pub fn stop_awaiting_peer(&mut self, peer: NodeId) {
         self.gate.stop_awaiting(peer);
     }
 
-    /// Takes in what the table service holds, `None` if it holds none or the one held here.
+    /// Applies the newest revision in the table service; `None` if the service holds none, or the one already held
+    /// by this node.
     ///
     /// # Errors
     ///
-    /// [`DeltaFault`] if the document does not match its record; nothing is changed then.
+    /// [`DeltaFault`] if the document does not match its record; the state held then stays unchanged.
     pub fn apply_store_row(
         &mut self,
         newest: Option<(&RevisionRecord, &SchemaDocument)>,
@@ -111,7 +114,8 @@
         }
     }
 
-    /// The configuration to put in force now, if there is a newer one and the node may use it.
+    /// Returns the configuration to put in force, and marks it as published; `None` if none is newer than the last one
+    /// published, or if the start gate is still closed.
     pub fn take_newer_config(&mut self) -> Option<Arc<ConfigInForce>> {
         let held = self.held();
         if held <= self.published || !self.gate.try_open(held) {
@@ -121,21 +125,21 @@
         Some(Arc::new(ConfigInForce::new(self.state.clone(), route_seed(self.node))))
     }
 
-    /// The event that tells of the revision last handed out, which came from the peer `from` or else from the store, and
-    /// waited here for `waited`.
+    /// Returns the event for the revision last published. `from` is the peer that sent it, `None` if it came from the
+    /// store; `waited` is the time between the notification of this node and the publication.
     pub fn in_force_event(&self, from: Option<NodeId>, waited: Duration) -> EventKind {
         let previous = (self.previous > Revision::ZERO).then_some(self.previous.0);
         let waited_ms = u64::try_from(waited.as_millis()).unwrap_or(u64::MAX);
         EventKind::RevisionInForce { revision: self.published.0, previous, from, waited_ms }
     }
 
-    /// The recent history as this node saw it.
+    /// Returns the recent revisions as this node received them.
     pub fn recent(&self) -> Vec<HistoryRecord> {
         self.recent.after(Revision::ZERO).cloned().collect()
     }
 }
 
-/// Where this node begins with the parts of weighted routes.
+/// Seed derived from the node's id, so that nodes start their weighted routes at different targets.
 fn route_seed(node: NodeId) -> u64 {
     twox_hash::XxHash64::oneshot(0, node.to_string().as_bytes())
 }
--- a/crates/coltsfoot-node/src/config/submission_handler.rs
+++ b/crates/coltsfoot-node/src/config/submission_handler.rs
@@ -1,4 +1,4 @@
-//! Carrying submissions through, and reading the history, beside the duty's own loop.
+//! Runs submissions and reads of the history, concurrently with the duty's own loop.
 
 use std::time::Duration;
 
@@ -17,49 +17,49 @@
 use super::{SubmitRequest, config_replies};
 use crate::{clock::wall_millis, http::HttpReply, journal::EventSender, store::StoreHandle};
 
-/// Time one request to the table service may take.
+/// Longest time that one request to the table service may take.
 const STORE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause before a step is sent again.
-const RESEND_PAUSE: Duration = Duration::from_millis(200);
-/// Revisions that one answer of the history holds at most.
-const HISTORY_LIMIT: usize = 1_000;
+/// Pause before a request of a submission is sent again.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum number of revisions in one reply with the history.
+const MAX_HISTORY_REVISIONS: usize = 1_000;
 
-/// A revision that was accepted.
+/// An accepted revision.
 pub struct AcceptedRevision {
-    /// Its record.
+    /// Record of the revision.
     pub record: RevisionRecord,
-    /// Its schema.
+    /// Schema of the revision.
     pub document: SchemaDocument,
 }
 
-/// An errand that has ended, to be taken in before its asker is answered.
+/// Result of a finished task; an accepted revision is put in force before the requester gets its reply.
 pub struct FinishedTask {
-    /// What was accepted, if anything.
+    /// Accepted revision; `None` if the task accepted none.
     pub accepted: Option<AcceptedRevision>,
-    /// The answer.
+    /// Reply to the requester.
     pub answer: HttpReply,
-    /// The asker.
+    /// Channel to the requester.
     pub reply: oneshot::Sender<HttpReply>,
 }
 
-/// Carries submissions through.
+/// Runs submissions and reads of the history against the table service.
 pub struct SubmissionHandler {
     store: StoreHandle,
     events: EventSender,
 }
 
 impl SubmissionHandler {
-    /// A desk that works on the table service behind `store`.
+    /// Creates a handler that sends its requests to `store` and its events to `events`.
     pub fn new(store: StoreHandle, events: EventSender) -> Self {
         Self { store, events }
     }
 
-    /// Asks the table service.
+    /// Sends one request to the table service.
     pub async fn request_store(&self, request: TableRequest) -> TableReply {
         self.store.request(request, STORE_TIMEOUT, StoreUse::Config).await
     }
 
-    /// Carries a submission through until its result is known.
+    /// Runs a submission until its result is known.
     pub async fn submit(
         self,
         request: SubmitRequest,
@@ -87,7 +87,7 @@
             let request = match step {
                 SubmissionStep::Send(request) => request,
                 SubmissionStep::SendLater(request) => {
-                    sleep(RESEND_PAUSE).await;
+                    sleep(RETRY_PAUSE).await;
                     request
                 }
                 SubmissionStep::Done(result) => break result,
@@ -104,7 +104,8 @@
         }
     }
 
-    /// The history in the table service; what this node remembers while the service is down.
+    /// Reads the history from the table service; falls back to `recent`, the revisions known to this node, while the
+    /// service is down.
     pub async fn history(
         self,
         recent: Vec<HistoryRecord>,
@@ -115,7 +116,7 @@
     }
 
     async fn read_history(&self, recent: Vec<HistoryRecord>) -> HttpReply {
-        let mut reader = HistoryReader::new(Revision::ZERO, HISTORY_LIMIT);
+        let mut reader = HistoryReader::new(Revision::ZERO, MAX_HISTORY_REVISIONS);
         let mut request = reader.start();
         loop {
             let reply = self.request_store(request).await;
--- a/crates/coltsfoot-node/src/config/submit_request.rs
+++ b/crates/coltsfoot-node/src/config/submit_request.rs
@@ -1,18 +1,18 @@
-//! Headers of a submission.
+//! Headers of a schema submission.
 
 use coltsfootroute::name::OperatorName;
 
 use super::SubmitHeaderError;
 use crate::http::RequestError;
 
-/// What the headers of `PUT /schema` say.
+/// Values of the headers of `PUT /schema`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubmitRequest {
-    /// Revision that the submission builds on; 0 for the first.
+    /// Revision on which the submission builds; 0 for the first.
     pub expected: u64,
-    /// The operator's idempotency key.
+    /// Idempotency key chosen by the operator.
     pub key: String,
-    /// The operator.
+    /// Name of the operator; `unnamed` if the submission gives none.
     pub operator: OperatorName,
 }
 
@@ -39,5 +39,5 @@
     }
 }
 
-/// Recorded where a submission names no operator.
+/// Operator name recorded for a submission that gives none.
 const UNNAMED_OPERATOR: &str = "unnamed";
