--- a/crates/coltsfoot-node/src/store.rs
+++ b/crates/coltsfoot-node/src/store.rs
@@ -9,7 +9,7 @@
 mod store_error;
 mod store_handle;
 mod store_port;
-mod store_reports;
+mod store_results;
 mod store_settings;
 mod store_thread;
 mod store_worker;
--- a/crates/coltsfoot-node/src/store/http_sender.rs
+++ b/crates/coltsfoot-node/src/store/http_sender.rs
@@ -22,7 +22,7 @@
 /// in the time that a second one would take.
 const KEEPALIVE_RETRIES: u32 = 1;
 /// A connection whose server has not acknowledged what was sent for so long is given up: keep-alives don't look at it.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(1_500);
+const MAX_UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(1_500);
 
 /// Sends requests to the platform's services, each once, and counts their bytes.
 pub struct HttpSender {
@@ -52,7 +52,7 @@
             connect_timeout,
             idle_timeout,
             keepalive_retries: KEEPALIVE_RETRIES,
-            unacknowledged_time: Some(UNACKNOWLEDGED_TIME),
+            unacknowledged_time: Some(MAX_UNACKNOWLEDGED_TIME),
         };
         let client = settings.client();
         Self { client, metrics }
--- a/crates/coltsfoot-node/src/store/store_handle.rs
+++ b/crates/coltsfoot-node/src/store/store_handle.rs
@@ -56,7 +56,7 @@
     }
 
     /// Carries out an errand of at-most-once execution within `deadline` from now.
-    pub async fn errand(&self, request: TaskRequest, deadline: Duration) -> TaskReply {
+    pub async fn run_task(&self, request: TaskRequest, deadline: Duration) -> TaskReply {
         match request {
             TaskRequest::Table(request) => {
                 TaskReply::Table(self.request(request, deadline, StoreUse::Answer).await)
--- a/crates/coltsfoot-node/src/store/store_thread.rs
+++ b/crates/coltsfoot-node/src/store/store_thread.rs
@@ -23,13 +23,13 @@
 pub struct StoreThread;
 
 impl StoreThread {
-    /// Starts the thread and gives a handle to it; `open` makes the way to the services on the thread.
+    /// Starts the thread and gives a handle to it; `create_port` makes the way to the services on the thread.
     ///
     /// # Errors
     ///
     /// [`StoreError`] if the runtime or the thread cannot be created.
     pub fn start<P: StorePort + 'static>(
-        open: impl FnOnce(&StoreSettings, Arc<NodeMetrics>) -> P + Send + 'static,
+        create_port: impl FnOnce(&StoreSettings, Arc<NodeMetrics>) -> P + Send + 'static,
         settings: StoreSettings,
         metrics: Arc<NodeMetrics>,
         events: EventSender,
@@ -38,19 +38,19 @@
         let runtime = Builder::new_current_thread().enable_all().build()?;
         thread::Builder::new().name("store".to_owned()).spawn(move || {
             let meter = DutyMeter::new(metrics.clone(), NodeDuty::Store);
-            let port = open(&settings, metrics.clone());
+            let port = create_port(&settings, metrics.clone());
             let worker = StoreWorker::new(port, &settings, metrics, events);
-            let most = settings.in_flight;
-            LocalSet::new().block_on(&runtime, serve(worker, most, meter, receiver));
+            let max_in_flight = settings.in_flight;
+            LocalSet::new().block_on(&runtime, serve(worker, max_in_flight, meter, receiver));
         })?;
         Ok(StoreHandle::new(sender))
     }
 }
 
-/// Carries out commands, at most `most` at once.
+/// Carries out commands, at most `max_in_flight` at once.
 async fn serve<P: StorePort + 'static>(
     worker: StoreWorker<P>,
-    most: usize,
+    max_in_flight: usize,
     meter: DutyMeter,
     mut receiver: mpsc::Receiver<StoreCommand>,
 ) {
@@ -58,13 +58,13 @@
     let worker = Rc::new(worker);
     let mut tasks = JoinSet::new();
     while let Some(command) = receiver.recv().await {
-        while tasks.len() >= most {
+        while tasks.len() >= max_in_flight {
             // Commands wait in the bounded queue meanwhile; their deadlines run on.
             tasks.join_next().await;
         }
         while tasks.try_join_next().is_some() {}
         let worker = Rc::clone(&worker);
-        tasks.spawn_local(async move { worker.carry_out(command).await });
+        tasks.spawn_local(async move { worker.execute(command).await });
     }
     while tasks.join_next().await.is_some() {}
 }
--- a/crates/coltsfoot-node/src/store/store_worker.rs
+++ b/crates/coltsfoot-node/src/store/store_worker.rs
@@ -17,7 +17,7 @@
 use super::{
     StorePort, StoreReply, StoreSettings,
     store_command::{ObjectAction, StoreCommand},
-    store_reports::{failure_text, object_result, store_result},
+    store_results::{failure_text, object_result, store_result},
 };
 use crate::{clock::MonotonicClock, journal::EventSender, metrics::NodeMetrics};
 
@@ -71,7 +71,7 @@
         Self { port, backoff, clock: MonotonicClock::new(), policy, metrics, events }
     }
 
-    pub(super) async fn carry_out(&self, command: StoreCommand) {
+    pub(super) async fn execute(&self, command: StoreCommand) {
         // A caller that has gone needs no reply.
         match command {
             StoreCommand::Table { request, store_use, deadline, reply } => {
@@ -114,7 +114,8 @@
     ) -> Result<TableReply, NotSent> {
         self.check_breaker(StoreService::Table)?;
         self.wait_for_budget(request, store_use, deadline).await?;
-        let sent = self.guarded(StoreService::Table, deadline, self.port.table(request)).await?;
+        let sent =
+            self.send_guarded(StoreService::Table, deadline, self.port.table(request)).await?;
         Ok(match sent {
             StoreReply::Answer(reply) => reply,
             StoreReply::RateLimited | StoreReply::Refused => TableReply::Unavailable,
@@ -126,11 +127,11 @@
         let sent = match action {
             ObjectAction::Put { name, body } => {
                 let put = self.port.put_object(name, body.clone());
-                self.guarded(StoreService::Objects, deadline, put).await
+                self.send_guarded(StoreService::Objects, deadline, put).await
             }
             ObjectAction::Get { name } => {
                 let get = self.port.get_object(name);
-                self.guarded(StoreService::Objects, deadline, get).await
+                self.send_guarded(StoreService::Objects, deadline, get).await
             }
         };
         // Objects are parts of answers.
@@ -167,7 +168,7 @@
     }
 
     /// Sends within the deadline if the breaker admits it, and tells the breaker what came of it.
-    async fn guarded<T>(
+    async fn send_guarded<T>(
         &self,
         service: StoreService,
         deadline: Instant,
@@ -184,14 +185,14 @@
         let now = self.now();
         self.policy.borrow_mut().record(service, now, reply.health());
         if matches!(service, StoreService::Table) {
-            self.note_health(now, &reply);
+            self.record_health(now, &reply);
         }
         Ok(reply)
     }
 
     /// The table service is what the node depends on: it is up with its first answer, and down once
     /// the breaker has opened.
-    fn note_health<T>(&self, now: MonotonicTime, reply: &StoreReply<T>) {
+    fn record_health<T>(&self, now: MonotonicTime, reply: &StoreReply<T>) {
         let mut policy = self.policy.borrow_mut();
         let is_closed = matches!(policy.table_breaker.state(), BreakerState::Closed(_));
         match reply.health() {
--- a/crates/coltsfoot-node/tests/integration/util/claim_driver.rs
+++ b/crates/coltsfoot-node/tests/integration/util/claim_driver.rs
@@ -75,7 +75,7 @@
     async fn carry_out(&mut self, errand: StoreTask) {
         let mut next = Some(errand);
         while let Some(StoreTask { claim_id, request }) = next {
-            let reply = self.store.errand(request, LONG).await;
+            let reply = self.store.run_task(request, LONG).await;
             next = self.guard.on_task_reply(claim_id, &reply, NOW);
         }
     }
