--- a/crates/coltsfoot-node/src/store.rs
+++ b/crates/coltsfoot-node/src/store.rs
@@ -1,7 +1,7 @@
-//! Client of the platform's table service and object store, in a thread of its own.
+//! Client of the platform's table service and object store, which runs in its own thread.
 //!
-//! Nothing here decides what a reply means: the library's state machines do. A write without an answer
-//! is reported as `Uncertain` and never sent again from here.
+//! The library's state machines, not this module, decide what a reply means. A write without an answer is reported as
+//! `Uncertain`, and this module never sends it again.
 
 mod http_client;
 mod http_sender;
--- a/crates/coltsfoot-node/src/store/http_client.rs
+++ b/crates/coltsfoot-node/src/store/http_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the platform over HTTP, each sent once.
+//! HTTP client of the platform's services, which sends each request once.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -17,7 +17,7 @@
 }
 
 impl HttpClient {
-    /// A client of the services that `settings` name.
+    /// Creates a client of the services at the addresses in `settings`.
     pub fn new(settings: &StoreSettings, metrics: Arc<NodeMetrics>) -> Self {
         let sender = HttpSender::new(settings.connect_timeout, metrics);
         Self { sender, table: settings.table, objects: settings.objects }
--- a/crates/coltsfoot-node/src/store/http_sender.rs
+++ b/crates/coltsfoot-node/src/store/http_sender.rs
@@ -1,4 +1,4 @@
-//! Requests to a service of the platform over HTTP, each sent once.
+//! HTTP sender for requests to the platform's services, which sends each request once.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,16 +12,17 @@
     metrics::{ControlKind, NodeMetrics, TrafficDirection},
 };
 
-/// Largest reply taken, in bytes.
+/// Maximum size of the body of a reply, in bytes.
 const MAX_REPLY_BYTES: usize = 4 << 20;
-/// Idle connections are closed before a server's usual keep-alive of five seconds ends: a write on a
-/// connection that the server closes at that moment would be uncertain for nothing.
+/// Time after which an idle connection is closed. It is shorter than the usual server keep-alive of five seconds: the
+/// result of a write on a connection that the server closes at that moment would needlessly be uncertain.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Probes without an answer until the connection is given up. A lost probe costs a question more; a change has to be known
-/// in the time that a second one would take.
+/// Number of unanswered keep-alive probes after which the connection is closed. A lost probe costs only one more
+/// request, but a configuration change must be received within the time that a second probe would take.
 const KEEPALIVE_RETRIES: u32 = 1;
-/// A connection whose server has not acknowledged what was sent for so long is given up: keep-alives don't look at it.
+/// Longest time that sent data may stay unacknowledged before the connection is closed; keep-alive probes do not cover
+/// this case.
 const MAX_UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(1_500);
 
 /// Sends requests to the platform's services, each once, and counts their bytes.
@@ -31,13 +32,13 @@
 }
 
 impl HttpSender {
-    /// A sender that opens a connection within `connect_timeout`, and keeps it for further requests.
+    /// Creates a sender that opens a connection within `connect_timeout` and reuses it for further requests.
     pub fn new(connect_timeout: Duration, metrics: Arc<NodeMetrics>) -> Self {
         Self::with_idle(connect_timeout, Some(IDLE_TIMEOUT), metrics)
     }
 
-    /// A sender that opens a connection for each request: one that was kept may have gone silent meanwhile, and would
-    /// swallow the request.
+    /// Creates a sender that opens a connection for each request: a kept connection may have become unresponsive, and a
+    /// request sent on it would be lost.
     pub fn without_reuse(connect_timeout: Duration, metrics: Arc<NodeMetrics>) -> Self {
         Self::with_idle(connect_timeout, None, metrics)
     }
@@ -47,7 +48,7 @@
         idle_timeout: Option<Duration>,
         metrics: Arc<NodeMetrics>,
     ) -> Self {
-        // Keep-alives notice a service that has gone without a word while a long question waits for its answer.
+        // Keep-alive probes detect a service that has disappeared silently while a long poll waits for its answer.
         let settings = OutgoingSettings {
             connect_timeout,
             idle_timeout,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Bodies only: heads and connections are the HTTP client's own.
+    /// Counts the bytes of bodies only: the HTTP client itself handles heads and connections.
     fn count_bytes(&self, direction: TrafficDirection, bytes: usize) {
         self.metrics.control.add_bytes(ControlKind::Store, direction, bytes);
     }
--- a/crates/coltsfoot-node/src/store/store_command.rs
+++ b/crates/coltsfoot-node/src/store/store_command.rs
@@ -4,7 +4,7 @@
 use coltsfootroute::table::{ObjectReply, StoreUse, TableReply, TableRequest};
 use tokio::{sync::oneshot, time::Instant};
 
-/// One request to the platform, with the place for its reply.
+/// One request to the platform, with the channel for its reply.
 #[derive(Debug)]
 pub(super) enum StoreCommand {
     /// A request to the table service.
@@ -18,7 +18,7 @@
     Object { action: ObjectAction, deadline: Instant, reply: oneshot::Sender<ObjectReply> },
 }
 
-/// What to do with an object. Each is idempotent: an object is written once under its name.
+/// Operation on an object. Each is idempotent: an object is written only once under its name.
 #[derive(Clone, Debug)]
 pub(super) enum ObjectAction {
     Put { name: String, body: Bytes },
--- a/crates/coltsfoot-node/src/store/store_error.rs
+++ b/crates/coltsfoot-node/src/store/store_error.rs
@@ -1,8 +1,8 @@
-//! Errors of the store client's start.
+//! Errors at the start of the store client.
 
 use std::io;
 
-/// Why the store client did not start.
+/// Error that prevents the store client from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The thread or its runtime could not be started.
--- a/crates/coltsfoot-node/src/store/store_handle.rs
+++ b/crates/coltsfoot-node/src/store/store_handle.rs
@@ -14,8 +14,8 @@
 
 use super::store_command::{ObjectAction, StoreCommand};
 
-/// Sends requests to the store thread; cheap to clone. The thread ends after the last handle is gone and
-/// the requests under way are done.
+/// Sends requests to the store thread; cheap to clone. The thread ends when the last handle has been dropped and the
+/// requests in flight have finished.
 #[derive(Clone, Debug)]
 pub struct StoreHandle {
     commands: mpsc::Sender<StoreCommand>,
@@ -26,9 +26,9 @@
         Self { commands }
     }
 
-    /// Carries out `request` within `deadline` from now.
+    /// Sends `request` to the table service; the reply comes within `deadline` from now.
     ///
-    /// `Unavailable` means that it provably took no effect: not sent, or refused by the service.
+    /// `Unavailable` means that the request certainly had no effect: it was not sent, or the service refused it.
     /// `Uncertain` means that a write may have taken effect, or may still take effect later.
     pub async fn request(
         &self,
@@ -55,7 +55,7 @@
         self.object(ObjectAction::Get { name: name.to_owned() }, deadline).await
     }
 
-    /// Carries out an errand of at-most-once execution within `deadline` from now.
+    /// Runs a task of at-most-once execution within `deadline` from now.
     pub async fn run_task(&self, request: TaskRequest, deadline: Duration) -> TaskReply {
         match request {
             TaskRequest::Table(request) => {
--- a/crates/coltsfoot-node/src/store/store_port.rs
+++ b/crates/coltsfoot-node/src/store/store_port.rs
@@ -1,12 +1,12 @@
-//! The way to the platform's services, as far as it differs from platform to platform.
+//! Interface to the platform's services, which each platform implements.
 
 use std::future::Future;
 
 use bytes::Bytes;
 use coltsfootroute::table::{ObjectReply, StoreHealth, TableReply, TableRequest};
 
-/// Sends requests to the platform's services, each once. What a reply means for the node, when to send again
-/// and how often is not decided here.
+/// Sends requests to the platform's services, each once. Implementations decide neither what a reply means for the node
+/// nor when and how often a request is sent again.
 pub trait StorePort {
     /// Sends one request to the table service.
     fn table(&self, request: &TableRequest) -> impl Future<Output = StoreReply<TableReply>>;
@@ -18,21 +18,21 @@
     fn get_object(&self, name: &str) -> impl Future<Output = StoreReply<ObjectReply>>;
 }
 
-/// What came of one request.
+/// Outcome of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply<T> {
     /// The service's answer.
     Answer(T),
-    /// Refused by the service's rate limit; not carried out.
+    /// The service's rate limit refused the request; it was not executed.
     RateLimited,
-    /// Not sent, or refused; not carried out.
+    /// The request was not sent, or was refused; it was not executed.
     Refused,
-    /// No usable answer: it may have been carried out.
+    /// There was no usable answer; the request may have been executed.
     Lost,
 }
 
 impl<T> StoreReply<T> {
-    /// What the reply says of the service.
+    /// Returns the health of the service as shown by this reply.
     pub fn health(&self) -> StoreHealth {
         match self {
             Self::Answer(_) | Self::RateLimited => StoreHealth::Answering,
@@ -40,7 +40,8 @@
         }
     }
 
-    /// The same outcome for another kind of answer; an answer, which callers take out before, is lost.
+    /// Converts a reply without an answer to another answer type. Callers handle `Answer` beforehand; here it becomes
+    /// `Lost`.
     pub fn without_answer<U>(self) -> StoreReply<U> {
         match self {
             Self::RateLimited => StoreReply::RateLimited,
--- a/crates/coltsfoot-node/src/store/store_results.rs
+++ b/crates/coltsfoot-node/src/store/store_results.rs
@@ -1,11 +1,11 @@
-//! Replies as results in the metrics.
+//! Conversion of replies to the results and error texts of metrics and events.
 
 use coltsfootroute::table::TableReply;
 
 use super::StoreReply;
 use crate::metrics::StoreResult;
 
-/// Result of a request to the table service; `None`: it was not sent.
+/// Returns the metric result of a request to the table service; `None` stands for a request that was not sent.
 pub(super) fn store_result(reply: Option<&TableReply>) -> StoreResult {
     match reply {
         Some(TableReply::Rows(_) | TableReply::Committed) => StoreResult::Done,
@@ -16,7 +16,7 @@
     }
 }
 
-/// Result of a request to the object store; `None`: it was not sent.
+/// Returns the metric result of a request to the object store; `None` stands for a request that was not sent.
 pub(super) fn object_result<T>(reply: Option<&StoreReply<T>>) -> StoreResult {
     match reply {
         Some(StoreReply::Answer(_)) => StoreResult::Done,
@@ -26,7 +26,7 @@
     }
 }
 
-/// What went wrong, in the event that says that the store is down.
+/// Returns the error text for the event that reports that the store is down.
 pub(super) fn failure_text<T>(reply: &StoreReply<T>) -> &'static str {
     match reply {
         StoreReply::Refused => "refused or not reachable",
--- a/crates/coltsfoot-node/src/store/store_settings.rs
+++ b/crates/coltsfoot-node/src/store/store_settings.rs
@@ -4,31 +4,31 @@
 
 use coltsfootroute::table::{BreakerSettings, RateShare, StoreBackoff};
 
-/// Where the platform's services are and how this node may use them.
+/// Addresses of the platform's services, and limits for their use by this node.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
     /// Address of the table service.
     pub table: SocketAddr,
     /// Address of the object store.
     pub objects: SocketAddr,
-    /// Commands that may wait for the thread; at least 1.
+    /// Maximum number of commands waiting for the thread; at least 1.
     pub queue: usize,
-    /// Requests under way at once; at least 1.
+    /// Maximum number of concurrent requests; at least 1.
     pub in_flight: usize,
-    /// Time for a new connection.
+    /// Longest time for opening a connection.
     pub connect_timeout: Duration,
-    /// Share of the platform's rates.
+    /// This node's share of the platform's rates.
     pub share: RateShare,
-    /// Circuit breaker.
+    /// Settings of the circuit breakers.
     pub breaker: BreakerSettings,
-    /// Retry of what is safe to send again.
+    /// Backoff for requests that are safe to retry.
     pub backoff: StoreBackoff,
     /// Seed of the jitter.
     pub seed: u64,
 }
 
 impl StoreSettings {
-    /// Both services at `address`, with defaults for today's sizes.
+    /// Creates settings with both services at `address`, and defaults for today's deployment sizes.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             table: address,
@@ -43,19 +43,19 @@
         }
     }
 
-    /// Sets the share of the platform's rates.
+    /// Sets this node's share of the platform's rates.
     pub fn with_share(mut self, share: RateShare) -> Self {
         self.share = share;
         self
     }
 
-    /// Sets the circuit breaker.
+    /// Sets the circuit breaker settings.
     pub fn with_breaker(mut self, breaker: BreakerSettings) -> Self {
         self.breaker = breaker;
         self
     }
 
-    /// Sets the retry.
+    /// Sets the backoff for retries.
     pub fn with_backoff(mut self, backoff: StoreBackoff) -> Self {
         self.backoff = backoff;
         self
--- a/crates/coltsfoot-node/src/store/store_thread.rs
+++ b/crates/coltsfoot-node/src/store/store_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that talks to the platform.
+//! Thread that sends requests to the platform.
 
 use std::{rc::Rc, sync::Arc, thread};
 
@@ -23,7 +23,7 @@
 pub struct StoreThread;
 
 impl StoreThread {
-    /// Starts the thread and gives a handle to it; `create_port` makes the way to the services on the thread.
+    /// Starts the thread and returns a handle to it; `create_port` runs on the new thread.
     ///
     /// # Errors
     ///
@@ -47,7 +47,7 @@
     }
 }
 
-/// Carries out commands, at most `max_in_flight` at once.
+/// Executes commands, at most `max_in_flight` concurrently.
 async fn serve<P: StorePort + 'static>(
     worker: StoreWorker<P>,
     max_in_flight: usize,
@@ -59,7 +59,7 @@
     let mut tasks = JoinSet::new();
     while let Some(command) = receiver.recv().await {
         while tasks.len() >= max_in_flight {
-            // Commands wait in the bounded queue meanwhile; their deadlines run on.
+            // Meanwhile commands wait in the bounded channel, and their deadlines continue to run.
             tasks.join_next().await;
         }
         while tasks.try_join_next().is_some() {}
--- a/crates/coltsfoot-node/src/store/store_worker.rs
+++ b/crates/coltsfoot-node/src/store/store_worker.rs
@@ -1,4 +1,4 @@
-//! One request at a time through budget, breaker, client and retry.
+//! Runs each request through rate budget, circuit breaker, client and retries.
 
 use std::{cell::RefCell, future::Future, sync::Arc};
 
@@ -21,7 +21,7 @@
 };
 use crate::{clock::MonotonicClock, journal::EventSender, metrics::NodeMetrics};
 
-/// What the requests of the store thread share.
+/// Executes the commands of the store thread, with the state that all requests share.
 pub(super) struct StoreWorker<P> {
     port: P,
     backoff: StoreBackoff,
@@ -36,19 +36,19 @@
     budget: RateBudget,
     table_breaker: CircuitBreaker,
     object_breaker: CircuitBreaker,
-    /// Since when the table service does not answer.
+    /// Time at which the table service was found to be down; `None` while it is up.
     down_since: Option<MonotonicTime>,
     rng: Pcg64,
 }
 
-/// The two services fail apart from one another.
+/// Service of the platform. The two fail independently, so each has its own circuit breaker.
 #[derive(Clone, Copy, Debug)]
 enum StoreService {
     Table,
     Objects,
 }
 
-/// Nothing was sent.
+/// Error for a request that was not sent.
 #[derive(Debug)]
 struct NotSent;
 
@@ -72,7 +72,7 @@
     }
 
     pub(super) async fn execute(&self, command: StoreCommand) {
-        // A caller that has gone needs no reply.
+        // Sending a reply fails only if the caller has gone away and needs none.
         match command {
             StoreCommand::Table { request, store_use, deadline, reply } => {
                 let _ = reply.send(self.table(&request, store_use, deadline).await);
@@ -134,7 +134,7 @@
                 self.send_guarded(StoreService::Objects, deadline, get).await
             }
         };
-        // Objects are parts of answers.
+        // Objects hold parts of answers, so they count as that use.
         self.metrics.store.requested(StoreUse::Answer, object_result(sent.as_ref().ok()));
         match sent {
             Ok(StoreReply::Answer(reply)) => reply,
@@ -167,7 +167,7 @@
         Ok(())
     }
 
-    /// Sends within the deadline if the breaker admits it, and tells the breaker what came of it.
+    /// Sends a request within the deadline if the breaker admits it, and records the outcome in the breaker.
     async fn send_guarded<T>(
         &self,
         service: StoreService,
@@ -190,8 +190,8 @@
         Ok(reply)
     }
 
-    /// The table service is what the node depends on: it is up with its first answer, and down once
-    /// the breaker has opened.
+    /// Records whether the store is up. The node depends on the table service, so only its replies count: the store is
+    /// up from the first answer, and down once the breaker has opened.
     fn record_health<T>(&self, now: MonotonicTime, reply: &StoreReply<T>) {
         let mut policy = self.policy.borrow_mut();
         let is_closed = matches!(policy.table_breaker.state(), BreakerState::Closed(_));
