--- a/crates/coltsfoot-node/src/lib.rs
+++ b/crates/coltsfoot-node/src/lib.rs
@@ -19,5 +19,5 @@
 mod run;
 mod settings_watch;
 
-pub use node_launch::{NodeLaunch, OwnLaunch};
+pub use node_launch::{DefaultLaunch, NodeLaunch};
 pub use run::run;
--- a/crates/coltsfoot-node/src/main.rs
+++ b/crates/coltsfoot-node/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    coltsfoot_node::run::<coltsfoot_node::OwnLaunch>()
+    coltsfoot_node::run::<coltsfoot_node::DefaultLaunch>()
 }
--- a/crates/coltsfoot-node/src/node_launch.rs
+++ b/crates/coltsfoot-node/src/node_launch.rs
@@ -29,9 +29,9 @@
 }
 
 /// The node with the product's own interface on every side.
-pub struct OwnLaunch;
+pub struct DefaultLaunch;
 
-impl NodeLaunch for OwnLaunch {
+impl NodeLaunch for DefaultLaunch {
     type Settings = NodeSettings;
 
     fn read(text: &str) -> Result<NodeSettings, SettingsErrors> {
--- a/crates/coltsfoot-node/src/process/node_sockets.rs
+++ b/crates/coltsfoot-node/src/process/node_sockets.rs
@@ -6,7 +6,7 @@
 use crate::settings::ListenSettings;
 
 /// How often a port is drawn that is free for TCP until it is free for UDP as well.
-const PORT_ATTEMPTS: usize = 16;
+const MAX_PORT_RETRIES: usize = 16;
 
 /// What a node listens on, open.
 pub struct NodeSockets {
@@ -54,7 +54,7 @@
         let bound = listener.local_addr().map_err(fail)?;
         match UdpSocket::bind(bound) {
             Ok(socket) => return Ok((listener, socket)),
-            Err(_) if address.port() == 0 && attempt < PORT_ATTEMPTS => attempt += 1,
+            Err(_) if address.port() == 0 && attempt < MAX_PORT_RETRIES => attempt += 1,
             Err(source) => return Err(fail(source)),
         }
     }
