--- a/crates/coltsfoot-node/src/args.rs
+++ b/crates/coltsfoot-node/src/args.rs
@@ -1,23 +1,23 @@
-//! The node's command line.
+//! Command line of the node.
 
 use std::path::PathBuf;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-/// Exit status for a command line or settings file that is wrong.
+/// Exit status for an invalid command line or settings file.
 pub const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// The node's command line, parsed.
+/// Parsed command line of the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeArgs {
-    /// Settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
-    /// Check the settings and exit.
+    /// Whether to check the settings and exit.
     pub check: bool,
 }
 
 impl NodeArgs {
-    /// The command line's definition.
+    /// Returns the definition of the command line.
     pub fn command() -> Command {
         let settings = Arg::new("settings")
             .long("settings")
@@ -36,9 +36,9 @@
             .arg(check)
     }
 
-    /// The values of a parsed command line.
+    /// Extracts the values of a parsed command line.
     pub fn from_matches(matches: &ArgMatches) -> Self {
-        // `settings` is required, so the parser never leaves it out.
+        // `settings` is required, so the parser always sets it.
         let settings = matches.get_one::<PathBuf>("settings").cloned().unwrap_or_default();
         Self { settings, check: matches.get_flag("check") }
     }
--- a/crates/coltsfoot-node/src/lib.rs
+++ b/crates/coltsfoot-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! The daemon of an upstream host: takes calls in, routes them, guards the upstream beside it, and
-//! keeps membership and configuration together with the other nodes.
+//! Daemon of an upstream host: accepts and routes calls, protects the upstream on its host from overload, and maintains
+//! membership and configuration together with the other nodes.
 
 pub mod args;
 pub mod border;
--- a/crates/coltsfoot-node/src/main.rs
+++ b/crates/coltsfoot-node/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon of an upstream host.
+//! Daemon of an upstream host.
 
 use std::process::ExitCode;
 
--- a/crates/coltsfoot-node/src/node_launch.rs
+++ b/crates/coltsfoot-node/src/node_launch.rs
@@ -1,34 +1,34 @@
-//! What a binary makes a node of.
+//! Interface through which a binary starts a node.
 
 use crate::{
     process::{DrainSwitch, NodeError, NodeProcess},
     settings::{NodeSettings, SettingsErrors},
 };
 
-/// What a binary makes a node of: its settings file and its surroundings.
+/// Start of a node by a binary: how the settings are read, and with which platform interface the node starts.
 pub trait NodeLaunch: 'static {
-    /// The settings of the binary.
+    /// Settings of the binary.
     type Settings;
 
     /// Reads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// All faults of the file.
+    /// [`SettingsErrors`] with all faults of the file.
     fn read(text: &str) -> Result<Self::Settings, SettingsErrors>;
 
-    /// The settings of the node among them.
+    /// Returns the node's part of the settings.
     fn node(settings: &Self::Settings) -> &NodeSettings;
 
     /// Starts the node.
     ///
     /// # Errors
     ///
-    /// [`NodeError`] if an address cannot be listened on or a thread cannot start.
+    /// [`NodeError`] if the node cannot listen on an address or a thread cannot start.
     fn start(settings: Self::Settings, drain: DrainSwitch) -> Result<NodeProcess, NodeError>;
 }
 
-/// The node with the product's own interface on every side.
+/// Starts a node with the built-in interfaces to clients, upstream and platform.
 pub struct DefaultLaunch;
 
 impl NodeLaunch for DefaultLaunch {
--- a/crates/coltsfoot-node/src/process.rs
+++ b/crates/coltsfoot-node/src/process.rs
@@ -1,4 +1,4 @@
-//! The whole node: its threads, started in order and stopped without interrupting a request.
+//! The node process: starts its threads in order, and stops them without interrupting a request.
 
 mod drain_switch;
 mod node_addresses;
--- a/crates/coltsfoot-node/src/process/drain_switch.rs
+++ b/crates/coltsfoot-node/src/process/drain_switch.rs
@@ -1,22 +1,22 @@
-//! The switch that begins a planned stop.
+//! Switch that starts a planned stop.
 
 use std::sync::mpsc::SyncSender;
 
-/// Begins a planned stop; cloned into whatever may ask for one.
+/// Starts a planned stop; each component that may request one holds a clone.
 #[derive(Clone)]
 pub struct DrainSwitch {
     sender: SyncSender<()>,
 }
 
 impl DrainSwitch {
-    /// A switch whose first use is received on the other end of `sender`.
+    /// Creates a switch that sends its first use through `sender`.
     pub fn new(sender: SyncSender<()>) -> Self {
         Self { sender }
     }
 
-    /// Begins the stop; later uses change nothing.
+    /// Starts the stop; later calls have no effect.
     pub fn begin(&self) {
-        // Full or closed: the stop has begun.
+        // The channel is full or closed only if the stop has already started.
         let _ = self.sender.try_send(());
     }
 }
--- a/crates/coltsfoot-node/src/process/node_addresses.rs
+++ b/crates/coltsfoot-node/src/process/node_addresses.rs
@@ -1,14 +1,14 @@
-//! Addresses that a node listens on.
+//! Listening addresses of a node.
 
 use std::net::SocketAddr;
 
-/// Addresses that a node listens on.
+/// Listening addresses of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeAddresses {
-    /// For clients.
+    /// Address for clients.
     pub client: SocketAddr,
-    /// For the upstream beside the node and for operators.
+    /// Address for the upstream on the node's host and for operators.
     pub host: SocketAddr,
-    /// For other nodes.
+    /// Address for other nodes.
     pub peer: SocketAddr,
 }
--- a/crates/coltsfoot-node/src/process/node_error.rs
+++ b/crates/coltsfoot-node/src/process/node_error.rs
@@ -1,20 +1,20 @@
-//! Why a node cannot start.
+//! Errors at the start of a node.
 
 use std::{io, net::SocketAddr};
 
 use crate::{http::ListenerError, metrics::MetricsError, store::StoreError};
 
-/// Why a node cannot start.
+/// Error that prevents a node from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// An address of the settings cannot be listened on.
+    /// The node cannot listen on an address from the settings.
     #[error("cannot listen on {address} for `listen.{name}`: {source}")]
     Listen {
         /// Name of the setting.
         name: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A listener cannot start.
--- a/crates/coltsfoot-node/src/process/node_parts.rs
+++ b/crates/coltsfoot-node/src/process/node_parts.rs
@@ -1,4 +1,4 @@
-//! What the duties of one node share, and what each is made of.
+//! State shared by the duties of one node, and the parts from which each duty is built.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,44 +25,44 @@
     store::{StoreHandle, StoreSettings},
 };
 
-/// What the duties of one node share.
+/// State shared by the duties of one node.
 pub struct NodeParts<'a> {
     /// Settings of the node.
     pub settings: &'a NodeSettings,
     /// Clock of the process.
     pub clock: MonotonicClock,
-    /// The node.
+    /// Identity of the node.
     pub identity: NodeIdentity,
-    /// Headers between node and upstream.
+    /// Dialect of the headers between node and upstream.
     pub dialect: UpstreamDialect,
-    /// What keeps non-repeatable work from running twice.
+    /// Mechanism that prevents non-repeatable requests from running twice.
     pub repeat_guard: RepeatGuard,
-    /// Who accepts configurations.
+    /// System that accepts configurations.
     pub origin: ConfigOrigin,
-    /// What the guard's shed level follows.
+    /// Policy that sets the guard's shed level.
     pub shed_policy: ShedPolicy,
     /// Seed of the node's random generators.
     pub seed: u64,
-    /// Where the configuration in force stands.
+    /// Cell that holds the configuration in force.
     pub cell: ConfigCell,
-    /// The newest proof that the configuration in force is the newest.
+    /// Latest proof that the configuration in force is the newest revision.
     pub freshness: FreshnessCell,
-    /// The platform's services.
+    /// Handle of the platform's services.
     pub store: StoreHandle,
-    /// The dispatch duty.
+    /// Handle of the dispatch duty.
     pub dispatch: DispatchHandle,
-    /// The configuration duty.
+    /// Handle of the configuration duty.
     pub config: ConfigHandle,
-    /// Commands to the gossip duty.
+    /// Channel to the gossip duty.
     pub gossip: mpsc::Sender<GossipCommand>,
     /// Metrics of the node.
     pub metrics: Arc<NodeMetrics>,
-    /// Events of the node.
+    /// Sender of the node's events.
     pub events: EventSender,
 }
 
 impl NodeParts<'_> {
-    /// What the gossip duty is made of.
+    /// Returns the parts of the gossip duty.
     pub fn gossip(&self) -> GossipParts {
         let peers = self.settings_peers();
         GossipParts {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// What the dispatch duty is made of.
+    /// Returns the parts of the dispatch duty.
     pub fn dispatch(&self) -> DispatchParts {
         let limits = &self.settings.limits;
         DispatchParts {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// What the configuration duty is made of.
+    /// Returns the parts of the configuration duty.
     pub fn config(&self) -> ConfigParts {
         ConfigParts {
             origin: self.origin,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// State of the listener for clients.
+    /// Returns the state of the listener for clients.
     pub fn client_state(&self) -> ClientState {
         ClientState {
             clock: self.clock,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// State of the listener on the host's own address.
+    /// Returns the state of the listener on the host address.
     pub fn host_state(&self, events: EventReader, drain: DrainSwitch) -> HostState {
         HostState {
             clock: self.clock,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Settings of the store's client.
+/// Returns the settings of the store client.
 pub fn store_settings(settings: &NodeSettings, seed: u64) -> StoreSettings {
     let mut store = StoreSettings::new(settings.store.table);
     store.objects = settings.store.objects.unwrap_or(settings.store.table);
--- a/crates/coltsfoot-node/src/process/node_process.rs
+++ b/crates/coltsfoot-node/src/process/node_process.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a node.
+//! Starts and stops a node.
 
 use std::{sync::Arc, time::Duration};
 
@@ -27,20 +27,20 @@
     store::{StorePort, StoreThread},
 };
 
-/// Clients that were not told before get so long to hear from refusals that the node leaves, before it refuses
-/// connections: one that the kernel has taken but the node has not is cut off then.
+/// Time in which the node refuses requests before it refuses connections, so that clients without earlier notice see
+/// that it is leaving. Once it refuses connections, one that the kernel has accepted but the node has not is cut off.
 const REFUSAL_TIME: Duration = Duration::from_millis(300);
-/// After the last request has ended, its answer gets so long to reach the caller.
+/// Time for the answer to the last request to reach its caller before the listeners stop.
 const ANSWER_GRACE: Duration = Duration::from_millis(200);
 
 /// A running node.
 pub struct NodeProcess {
     addresses: NodeAddresses,
-    /// The product's client listener, unless a front serves clients.
+    /// Built-in client listener; `None` if a client front serves clients.
     client: Option<HttpListener>,
     host: HttpListener,
-    /// Time in which clients are refused before connections are: none where they have been asked to go before. Whoever
-    /// waits for this node's upstream waits for it, too.
+    /// Time in which requests are refused before connections are; zero if clients were asked to close their connections
+    /// earlier. Anything that waits for this node's upstream waits for this time as well.
     refusal_time: Duration,
     dispatch: DispatchHandle,
     config: ConfigHandle,
@@ -56,16 +56,16 @@
     ///
     /// # Errors
     ///
-    /// [`NodeError`] if an address cannot be listened on or a thread cannot start.
+    /// [`NodeError`] if the node cannot listen on an address or a thread cannot start.
     pub fn start(settings: NodeSettings, drain: DrainSwitch) -> Result<Self, NodeError> {
         Self::start_with(settings, drain, NodeBorder::own())
     }
 
-    /// Like [`NodeProcess::start`], on a platform that `border` translates to.
+    /// Starts a node like [`NodeProcess::start`], with `border` as the interface to the platform.
     ///
     /// # Errors
     ///
-    /// As [`NodeProcess::start`].
+    /// Same as [`NodeProcess::start`].
     pub fn start_with<P: StorePort + 'static, F: ClientFront>(
         settings: NodeSettings,
         drain: DrainSwitch,
@@ -133,47 +133,48 @@
         })
     }
 
-    /// Addresses that the node listens on.
+    /// Returns the listening addresses of the node.
     pub fn addresses(&self) -> NodeAddresses {
         self.addresses
     }
 
-    /// The way to the configuration duty, for whoever follows an outside history.
+    /// Returns the handle of the configuration duty, for a component that follows an external history.
     pub fn config(&self) -> ConfigHandle {
         self.config.clone()
     }
 
-    /// Where whoever follows an outside history proves that the configuration in force is the newest.
+    /// Returns the cell in which a component that follows an external history records proofs that the configuration in
+    /// force is the newest.
     pub fn freshness(&self) -> FreshnessCell {
         self.freshness.clone()
     }
 
-    /// Clock of the node.
+    /// Returns the clock of the node.
     pub fn clock(&self) -> MonotonicClock {
         self.clock
     }
 
-    /// Metrics of the node.
+    /// Returns the metrics of the node.
     pub fn metrics(&self) -> Arc<NodeMetrics> {
         self.metrics.clone()
     }
 
-    /// A planned stop: leaves, waits until nothing is in flight, refuses what still comes, then
-    /// ends the listeners.
+    /// Performs a planned stop: leaves the membership, waits until no request is in flight, refuses further requests,
+    /// then stops the listeners.
     pub fn stop(self) {
         let (done, drained) = oneshot::channel();
         let dispatch = self.dispatch.clone();
-        // A runtime for one command: this thread has none of its own.
+        // This thread has no runtime, so one is created for this single command.
         if let Ok(runtime) = tokio::runtime::Builder::new_current_thread().build() {
             runtime.block_on(async move {
                 dispatch.tell(DispatchCommand::Drain(done)).await;
-                // An error means that the dispatch duty is gone, and nothing is in flight with it.
+                // An error means that the dispatch duty has ended, and with it every request in flight.
                 let _ = drained.await;
             });
         }
         std::thread::sleep(self.refusal_time);
-        // The host's own listener is not closed first: its server pauses for a second when its socket is, and nobody
-        // there has to go elsewhere.
+        // The host listener is not closed beforehand: its server pauses for a second when its socket closes, and its
+        // clients need not move to another node.
         if let Some(client) = &self.client {
             client.close();
         }
@@ -182,7 +183,7 @@
             client.stop();
         }
         self.host.stop();
-        // Nothing was in flight any more: `Drain` waits for it, however long.
+        // No request is interrupted: `Drain` waits without limit until none is in flight.
         self.events.emit(EventKind::Stopped { interrupted: 0 });
         self.journal.stop();
     }
--- a/crates/coltsfoot-node/src/process/node_sockets.rs
+++ b/crates/coltsfoot-node/src/process/node_sockets.rs
@@ -1,33 +1,33 @@
-//! Opening what a node listens on.
+//! Opens the sockets on which a node listens.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
 use super::{NodeAddresses, NodeError};
 use crate::settings::ListenSettings;
 
-/// How often a port is drawn that is free for TCP until it is free for UDP as well.
+/// Maximum number of retries to find a port that is free for both TCP and UDP, if the system chooses the port.
 const MAX_PORT_RETRIES: usize = 16;
 
-/// What a node listens on, open.
+/// Open sockets on which a node listens.
 pub struct NodeSockets {
-    /// For clients.
+    /// Listener for clients.
     pub client: TcpListener,
-    /// For the upstream beside the node and for operators.
+    /// Listener for the upstream on the node's host and for operators.
     pub host: TcpListener,
-    /// For calls of other nodes.
+    /// Listener for calls from other nodes.
     pub peer: TcpListener,
-    /// For gossip, on the port of `peer`.
+    /// Socket for gossip, on the port of `peer`.
     pub gossip: UdpSocket,
-    /// Where they are.
+    /// Addresses of the sockets.
     pub addresses: NodeAddresses,
 }
 
 impl NodeSockets {
-    /// Opens all of them.
+    /// Opens all sockets.
     ///
     /// # Errors
     ///
-    /// [`NodeError::Listen`] names the first address that cannot be listened on.
+    /// [`NodeError::Listen`] for the first address on which the node cannot listen.
     pub fn open(settings: &ListenSettings) -> Result<Self, NodeError> {
         let client = listen("client", settings.client)?;
         let host = listen("host", settings.host)?;
@@ -45,7 +45,7 @@
     TcpListener::bind(address).map_err(|source| NodeError::Listen { name, address, source })
 }
 
-/// TCP and UDP on the same port, since one address identifies the node.
+/// Opens TCP and UDP sockets on the same port, because a single address identifies the node.
 fn listen_peer(address: SocketAddr) -> Result<(TcpListener, UdpSocket), NodeError> {
     let fail = |source| NodeError::Listen { name: "peer", address, source };
     let mut attempt = 0;
--- a/crates/coltsfoot-node/src/run.rs
+++ b/crates/coltsfoot-node/src/run.rs
@@ -1,4 +1,4 @@
-//! The daemon's life from command line to exit status.
+//! Runs the daemon, from the command line to the exit status.
 
 use std::{
     fs,
@@ -21,7 +21,7 @@
     settings_watch::SettingsWatch,
 };
 
-/// Runs the daemon until a planned stop has ended.
+/// Runs the daemon until a planned stop has finished, and returns its exit status.
 pub fn run<L: NodeLaunch>() -> ExitCode {
     let args = NodeArgs::from_matches(&NodeArgs::command().get_matches());
     let settings = match read_settings::<L>(&args.settings) {
@@ -67,13 +67,13 @@
     })?;
     let process = L::start(settings, switch)?;
     announce(&process);
-    // An error means that every switch is gone, which the process itself holds: not while it runs.
+    // An error would mean that every switch has been dropped, but the running process itself holds one.
     let _ = stop.recv();
     process.stop();
     Ok(())
 }
 
-/// Scripts and operators learn the ports that were chosen from this line.
+/// Prints the listening addresses; scripts and operators read the chosen ports from this line.
 #[allow(clippy::print_stdout)]
 fn announce(process: &NodeProcess) {
     let addresses = process.addresses();
