--- a/crates/coltsfoot-node/tests/integration/args.rs
+++ b/crates/coltsfoot-node/tests/integration/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Tests of the command line.
 
 use std::path::PathBuf;
 
--- a/crates/coltsfoot-node/tests/integration/clock.rs
+++ b/crates/coltsfoot-node/tests/integration/clock.rs
@@ -1,4 +1,4 @@
-//! The clock by which things lapse goes on while the host is suspended.
+//! Tests that the monotonic clock, which determines expiry, continues while the host is suspended.
 
 use std::time::{Duration, Instant};
 
@@ -26,28 +26,28 @@
 }
 
 #[test]
-fn what_was_due_while_the_host_slept_is_past_when_it_wakes() {
+fn a_time_due_during_a_suspension_has_passed_after_it() {
     let clock = MonotonicClock::new();
     let due = clock.now() + Duration::from_secs(4);
     assert!(clock.instant_at(due) > Instant::now());
 
-    let woken = clock.with_suspension(Duration::from_secs(10));
+    let resumed = clock.with_suspension(Duration::from_secs(10));
 
-    assert!(woken.now() >= due + Duration::from_secs(6));
-    assert!(woken.instant_at(due) <= Instant::now());
-    // A timer that is set now counts from now.
-    let timer = woken.instant_at(woken.now() + Duration::from_secs(3));
+    assert!(resumed.now() >= due + Duration::from_secs(6));
+    assert!(resumed.instant_at(due) <= Instant::now());
+    // A timer that is set after the suspension runs from the current time.
+    let timer = resumed.instant_at(resumed.now() + Duration::from_secs(3));
     assert!(timer <= Instant::now() + Duration::from_secs(3));
     assert!(timer > Instant::now());
 }
 
 #[test]
-fn it_tells_how_long_the_host_slept() {
+fn the_duration_of_a_suspension_is_reported() {
     let clock = MonotonicClock::new();
     let before = clock.suspended();
 
-    let woken = clock.with_suspension(Duration::from_secs(10));
+    let resumed = clock.with_suspension(Duration::from_secs(10));
 
     assert!(before < Duration::from_millis(100), "{before:?}");
-    assert!(woken.suspended() >= Duration::from_secs(10));
+    assert!(resumed.suspended() >= Duration::from_secs(10));
 }
--- a/crates/coltsfoot-node/tests/integration/config_duty.rs
+++ b/crates/coltsfoot-node/tests/integration/config_duty.rs
@@ -1,4 +1,4 @@
-//! The configuration duty between a store that tells of changes and peers that may not answer.
+//! Tests of the configuration duty with a store that reports changes and peers that may not answer.
 
 use std::time::Duration;
 
@@ -22,10 +22,10 @@
     store_fixture::{LONG, StoreFixture, event_log},
 };
 
-const RING: usize = 16;
+const CHANNEL_CAPACITY: usize = 16;
 const POLL: Duration = Duration::from_millis(10);
 
-/// The duty, with the other duties' rings in the test's hands.
+/// A configuration duty whose channels to the other duties are received by the test.
 struct DutyFixture {
     handle: ConfigHandle,
     cell: ConfigCell,
@@ -33,14 +33,14 @@
     _gossip: mpsc::Receiver<GossipCommand>,
 }
 
-/// A question to a peer, which stays open until it is answered or dropped.
-struct OpenPull {
+/// A request to a peer, which stays in flight until it is answered or dropped.
+struct PendingPull {
     peer: NodeId,
     _reply: oneshot::Sender<Option<Vec<u8>>>,
 }
 
 impl DutyFixture {
-    /// A duty that has revision 1 in force, which another system has accepted.
+    /// Starts a duty that has revision 1, accepted by another system, in force.
     async fn new() -> Self {
         let fixture = Self::start(&StoreFixture::new(), ConfigOrigin::External);
         fixture.handle.accept(accepted(1)).await;
@@ -48,11 +48,11 @@
         fixture
     }
 
-    /// A duty on the table service of `store`, which no gossip connects with others.
+    /// Starts a duty that uses the table service of `store` and has no gossip with other nodes.
     fn start(store: &StoreFixture, origin: ConfigOrigin) -> Self {
         let (handle, commands) = ConfigThread::ring();
-        let (dispatch_ring, dispatch) = mpsc::channel(RING);
-        let (gossip_ring, gossip) = mpsc::channel(RING);
+        let (dispatch_sender, dispatch) = mpsc::channel(CHANNEL_CAPACITY);
+        let (gossip_sender, gossip) = mpsc::channel(CHANNEL_CAPACITY);
         let (events, _) = event_log(&store.metrics);
         let cell = ConfigCell::default();
         let parts = ConfigParts {
@@ -64,8 +64,8 @@
             clock: MonotonicClock::new(),
             revoke_within: None,
             store: store.store.clone(),
-            dispatch: DispatchHandle::new(dispatch_ring),
-            gossip: gossip_ring,
+            dispatch: DispatchHandle::new(dispatch_sender),
+            gossip: gossip_sender,
             events,
             metrics: store.metrics.clone(),
         };
@@ -82,13 +82,13 @@
         timeout(LONG, reached).await.expect("the revision is in force");
     }
 
-    /// The next question to a peer.
-    async fn next_pull(&mut self) -> OpenPull {
+    /// Waits for the next request to a peer.
+    async fn next_pull(&mut self) -> PendingPull {
         let asked = async {
             loop {
                 match self.dispatch.recv().await.expect("the duty runs") {
                     DispatchCommand::PullConfig { peer, reply, .. } => {
-                        return OpenPull { peer, _reply: reply };
+                        return PendingPull { peer, _reply: reply };
                     }
                     _ => continue,
                 }
@@ -102,7 +102,7 @@
     NodeId(([127, 0, 0, 1], port).into())
 }
 
-/// Has a schema accepted in place of the revision `expected`, and waits until it is in force at that duty.
+/// Submits a schema that builds on the revision `expected`, and waits until it is in force at `duty`.
 async fn submit(duty: &DutyFixture, expected: u64) {
     let request = SubmitRequest {
         expected,
@@ -123,34 +123,36 @@
     AcceptedConfig::new(Revision(revision), OperatorName::new("amina"), document)
 }
 
-/// Guards against a change that the store has told of in time and that waits behind a question to a dead peer.
+/// Guards against a change that the store has reported in time but that waits behind a request to a dead peer.
 #[tokio::test]
-async fn what_the_store_tells_is_in_force_while_a_peer_does_not_answer() {
+async fn a_change_from_the_store_is_in_force_while_a_peer_does_not_answer() {
     let mut duty = DutyFixture::new().await;
     duty.handle.report_peer_ahead(peer(2), Revision(5));
-    let open = duty.next_pull().await;
+    let pending = duty.next_pull().await;
 
     duty.handle.accept(accepted(5)).await;
 
     duty.await_revision(5).await;
-    assert_eq!(open.peer, peer(2));
+    assert_eq!(pending.peer, peer(2));
 }
 
-/// Guards against a change that nobody hears of since the node that had it accepted is gone before it has told others.
+/// Guards against a change that never reaches the other nodes because the node that submitted it terminated before
+/// notifying them.
 #[tokio::test]
-async fn what_was_accepted_elsewhere_is_in_force_though_nobody_tells_of_it() {
+async fn a_revision_accepted_elsewhere_is_in_force_without_notification() {
     let store = StoreFixture::new();
-    let accepter = DutyFixture::start(&store, ConfigOrigin::Submitted);
+    let submitter = DutyFixture::start(&store, ConfigOrigin::Submitted);
     let other = DutyFixture::start(&store, ConfigOrigin::Submitted);
-    submit(&accepter, 0).await;
+    submit(&submitter, 0).await;
     other.await_revision(1).await;
 
-    submit(&accepter, 1).await;
+    submit(&submitter, 1).await;
 
     other.await_revision(2).await;
 }
 
-/// Guards against a second peer that knows being passed over since the first one, which has died, told it before.
+/// Guards against skipping a second peer that has a revision because a first peer, since terminated, reported it
+/// before.
 #[tokio::test]
 async fn another_peer_is_asked_while_the_first_does_not_answer() {
     let mut duty = DutyFixture::new().await;
--- a/crates/coltsfoot-node/tests/integration/store.rs
+++ b/crates/coltsfoot-node/tests/integration/store.rs
@@ -1,4 +1,4 @@
-//! The store thread against the table stand-in, with faults.
+//! Tests of the store thread against the table stand-in, with injected faults.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn conditional_write_conflicts_with_the_row_in_the_way() {
+async fn conditional_write_conflicts_with_an_existing_row() {
     let fixture = StoreFixture::new();
 
     let first = fixture.claim(insert("once/a", "1")).await;
@@ -62,13 +62,13 @@
 }
 
 #[tokio::test]
-async fn a_write_past_its_deadline_is_uncertain_and_lands_late() {
+async fn a_write_past_its_deadline_is_uncertain_and_takes_effect_late() {
     let never_open = breaker_after(u32::MAX);
     let fixture = StoreFixture::with_settings(|settings| settings.with_breaker(never_open));
     fixture.fault(FaultCommand::new(FaultMode::Held));
     let mut unsent = Vec::new();
 
-    // A host under load may not get a request out in time: that is no fault, and said as such.
+    // On a busy host a request may not be sent before its deadline. That is not a fault: the reply is `Unavailable`.
     for round in 0.. {
         let key = format!("once/{round}");
         let deadline = Duration::from_millis(20);
