--- a/crates/coltsfoot-node/src/config/config_pulls.rs
+++ b/crates/coltsfoot-node/src/config/config_pulls.rs
@@ -1,4 +1,4 @@
-//! Questions to peers for what changed, beside the duty's own loop.
+//! Requests to peers for configuration changes, run concurrently with the duty's own loop.
 
 use std::{future::pending, pin::Pin};
 
@@ -17,53 +17,53 @@
     dispatch::{DispatchCommand, DispatchHandle},
 };
 
-/// A question to a peer that has ended.
+/// A finished request to a peer for configuration changes.
 pub(super) struct FinishedPull {
     pub(super) peer: NodeId,
-    /// The revision since which the peer was asked for changes.
+    /// Revision since which changes were requested.
     pub(super) since: Revision,
-    /// When the peer was asked first; asked again for all, the time stays.
-    pub(super) told: Instant,
-    /// What it sent, encoded; `None`: it did not answer.
+    /// Time of the first request to the peer; a repeated request for the whole configuration keeps it.
+    pub(super) requested_at: Instant,
+    /// Encoded reply; `None` if the peer did not answer.
     pub(super) encoded: Option<Vec<u8>>,
 }
 
 type PullFuture = Pin<Box<dyn Future<Output = FinishedPull> + Send>>;
 
-/// Questions to peers for what changed, some at once: one that does not answer holds up nobody.
+/// Concurrent requests to peers for configuration changes; a peer that does not answer does not delay the others.
 pub(super) struct ConfigPulls {
     plan: PullPlan,
-    open: FuturesUnordered<PullFuture>,
+    in_flight: FuturesUnordered<PullFuture>,
     dispatch: DispatchHandle,
     clock: MonotonicClock,
 }
 
 impl ConfigPulls {
-    /// No question is open.
+    /// Creates a set of pulls with no request in flight.
     pub(super) fn new(dispatch: DispatchHandle, clock: MonotonicClock) -> Self {
-        Self { plan: PullPlan::new(), open: FuturesUnordered::new(), dispatch, clock }
+        Self { plan: PullPlan::new(), in_flight: FuturesUnordered::new(), dispatch, clock }
     }
 
-    /// `peer` has told that it has `revision` in force.
-    pub(super) fn hear(&mut self, peer: NodeId, revision: Revision) {
+    /// Records that `peer` has `revision` in force.
+    pub(super) fn record_revision(&mut self, peer: NodeId, revision: Revision) {
         self.plan.record_revision(peer, revision);
     }
 
-    /// Asks those who are due, where `held` is held.
-    pub(super) fn ask_due(&mut self, held: Revision) {
+    /// Requests the changes since `held`, the revision held here, from each peer that is due.
+    pub(super) fn pull_due_peers(&mut self, held: Revision) {
         while let Some(peer) = self.plan.next_peer(self.clock.now(), held) {
-            self.open_question(peer, held, Instant::now());
+            self.start_pull(peer, held, Instant::now());
         }
     }
 
-    /// Asks `peer` in any case for what changed after `since`, unless it is being asked.
-    pub(super) fn ask(&mut self, peer: NodeId, since: Revision, told: Instant) {
+    /// Requests the changes since `since` from `peer`, even if it is not due, unless a request to it is in flight.
+    pub(super) fn pull_from(&mut self, peer: NodeId, since: Revision, requested_at: Instant) {
         if self.plan.record_request(self.clock.now(), peer) {
-            self.open_question(peer, since, told);
+            self.start_pull(peer, since, requested_at);
         }
     }
 
-    /// The next question that ends; `None` when another peer is due.
+    /// Waits for the next request to finish; returns `None` when another peer is due first.
     pub(super) async fn next(&mut self) -> Option<FinishedPull> {
         let due = self.plan.next_hedge_at().map(|due| self.clock.instant_at(due));
         let hedge = async {
@@ -72,26 +72,26 @@
                 None => pending().await,
             }
         };
-        let ended = async {
-            match self.open.next().await {
+        let finished = async {
+            match self.in_flight.next().await {
                 Some(pull) => pull,
                 None => pending().await,
             }
         };
         let pull = tokio::select! {
-            pull = ended => pull,
+            pull = finished => pull,
             () = hedge => return None,
         };
         self.plan.record_completion(pull.peer);
         Some(pull)
     }
 
-    fn open_question(&mut self, peer: NodeId, since: Revision, told: Instant) {
+    fn start_pull(&mut self, peer: NodeId, since: Revision, requested_at: Instant) {
         let dispatch = self.dispatch.clone();
-        self.open.push(Box::pin(async move {
+        self.in_flight.push(Box::pin(async move {
             let (reply, receiver) = oneshot::channel();
             dispatch.tell(DispatchCommand::PullConfig { peer, since: since.0, reply }).await;
-            FinishedPull { peer, since, told, encoded: receiver.await.ok().flatten() }
+            FinishedPull { peer, since, requested_at, encoded: receiver.await.ok().flatten() }
         }));
     }
 }
--- a/crates/coltsfoot-node/src/main.rs
+++ b/crates/coltsfoot-node/src/main.rs
@@ -1,7 +1,7 @@
-//! The daemon of an upstream host.
+//! Daemon of an upstream host.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    coltsfoot_node::run::<coltsfoot_node::OwnLaunch>()
+    coltsfoot_node::run::<coltsfoot_node::DefaultLaunch>()
 }
